--- a/src/main/java/org/martenwell/gateway/PlacedPrompt.java
+++ b/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
@@ -11,7 +11,7 @@
  * taken back if the engine turns out not to have read them: its own word tells only of parts that
  * come and go, so a wrong belief would stay and let others read the parts there anew.
  */
-final class PlacedPrompt {
+final class AssumedCacheEntries {
 
     /** What all requests share. */
     private final GatewayCore core;
@@ -29,7 +29,7 @@
      * @param load The engine.
      * @param keys The keys of the parts that it did not keep before.
      */
-    private PlacedPrompt(GatewayCore core, TargetLoad load, List<Long> keys) {
+    private AssumedCacheEntries(GatewayCore core, TargetLoad load, List<Long> keys) {
         this.core = core;
         this.load = load;
         this.keys = keys;
@@ -43,7 +43,7 @@
      * @param chain The parts.
      * @return The parts that it did not keep before.
      */
-    static PlacedPrompt at(GatewayCore core, TargetLoad load, PromptChain chain) {
+    static AssumedCacheEntries at(GatewayCore core, TargetLoad load, PromptChain chain) {
         List<Long> keys = new ArrayList<>();
         for (int index = 0; index < chain.length(); index++) {
             if (!load.memory().keeps(chain.key(index))) {
@@ -54,7 +54,7 @@
             core.placed(load.target().life(), chain);
         }
         load.memory().keep(chain, core.keptCapacity(load));
-        return new PlacedPrompt(core, load, keys);
+        return new AssumedCacheEntries(core, load, keys);
     }
 
     /** Notes that the engine has not read the parts. */
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -38,7 +38,7 @@
     private ShareTier tier = ShareTier.PROMISED;
 
     /** What the engine of the present attempt is taken to keep, until its answer begins. */
-    private Optional<PlacedPrompt> placed = Optional.empty();
+    private Optional<AssumedCacheEntries> placed = Optional.empty();
 
     /** How the request is counted as served, if it is. */
     private Optional<Counted> counted = Optional.empty();
@@ -203,7 +203,7 @@
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, need.cost());
         }
-        placed = Optional.of(PlacedPrompt.at(core, choice.load(), need.chain()));
+        placed = Optional.of(AssumedCacheEntries.at(core, choice.load(), need.chain()));
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -34,7 +34,7 @@
             metrics.register("first_piece_millis", new Histogram(new HighDynamicRangeReservoir()));
 
     /** Bounds lines about requests. */
-    private final LineBudget budget = new LineBudget();
+    private final LogRateLimiter budget = new LogRateLimiter();
 
     /**
      * Creates a log.
@@ -230,7 +230,7 @@
      * @param life The target's life.
      * @param lives How many targets have ended under it, as far as is known.
      */
-    void suspected(Suspect suspect, String life, int lives) {
+    void suspected(SuspectRequest suspect, String life, int lives) {
         metrics.counter("requests_suspected").inc();
         if (writes()) {
             write(
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -55,7 +55,7 @@
     private final Quarantine quarantine = new Quarantine();
 
     /** Finds out which targets ended. */
-    private final TargetEnds ends;
+    private final TargetCrashDetector ends;
 
     /** The requests that are being served. */
     private final Set<RequestDispatch> active = new HashSet<>();
@@ -88,7 +88,7 @@
         this.log = log;
         this.clock = clock;
         this.random = random;
-        this.ends = new TargetEnds(reactor, this::ended);
+        this.ends = new TargetCrashDetector(reactor, this::ended);
         log.metrics().registerGauge("requests_held_back", quarantine::held);
         log.metrics().registerGauge("targets_ended_under_requests", quarantine::livesKnown);
     }
@@ -262,7 +262,7 @@
      * @param suspect The request.
      * @param life The target's life.
      */
-    private void ended(Suspect suspect, String life) {
+    private void ended(SuspectRequest suspect, String life) {
         Fingerprint fingerprint = suspect.fingerprint();
         summaries.put(fingerprint, suspect.summary());
         if (summaries.size() > MAX_SUMMARIES) {
--- a/src/main/java/org/martenwell/gateway/OwnAnswers.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -8,7 +8,7 @@
 import org.martenwell.exchange.CallerExchange;
 
 /** Gives a caller the answers that the gateway makes itself. */
-final class OwnAnswers {
+final class LocalResponder {
 
     /** Over how long the times at which callers may come back are spread at most, in seconds. */
     private static final double MAX_SPREAD_SECONDS = 2;
@@ -29,7 +29,7 @@
      * @param exchange The request and its answer.
      * @param facts What the caller states.
      */
-    OwnAnswers(GatewayCore core, CallerExchange exchange, RequestFacts facts) {
+    LocalResponder(GatewayCore core, CallerExchange exchange, RequestFacts facts) {
         this.core = core;
         this.exchange = exchange;
         this.facts = facts;
--- a/src/main/java/org/martenwell/gateway/LineBudget.java
+++ b/src/main/java/org/martenwell/gateway/LogRateLimiter.java
@@ -1,7 +1,7 @@
 package org.martenwell.gateway;
 
 /** Bounds the lines about requests and counts those that are left out. */
-final class LineBudget {
+final class LogRateLimiter {
 
     /** How many lines a second are written. */
     private static final double LINES_PER_SECOND = 120;
@@ -22,7 +22,7 @@
     private long dropped;
 
     /** Creates a full budget. */
-    LineBudget() {}
+    LogRateLimiter() {}
 
     /**
      * Takes a line from the budget, or counts it as left out.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -109,10 +109,10 @@
     private SendAttempt attempt;
 
     /** Hands answers on to the caller. */
-    private final AnswerRelay relay;
+    private final ResponseRelay relay;
 
     /** Gives the caller the gateway's own answers. */
-    private final OwnAnswers ownAnswers;
+    private final LocalResponder ownAnswers;
 
     /** Whether the request is over. */
     private boolean over;
@@ -128,8 +128,8 @@
         this.exchange = exchange;
         this.facts = core.dialect().read(exchange.request().headers());
         this.arrivedMillis = exchange.request().arrivedMillis();
-        this.relay = new AnswerRelay(core, exchange);
-        this.ownAnswers = new OwnAnswers(core, exchange, facts);
+        this.relay = new ResponseRelay(core, exchange);
+        this.ownAnswers = new LocalResponder(core, exchange, facts);
     }
 
     /** Begins to serve the request. */
--- a/src/main/java/org/martenwell/gateway/RequestIdentity.java
+++ b/src/main/java/org/martenwell/gateway/RequestIdentity.java
@@ -77,10 +77,10 @@
      *
      * @return The request without its body.
      */
-    Suspect suspect() {
+    SuspectRequest suspect() {
         RequestSummary summary =
                 new RequestSummary(
                         request.method().name(), route.host(), request.path(), organisation);
-        return new Suspect(fingerprint(), summary);
+        return new SuspectRequest(fingerprint(), summary);
     }
 }
--- a/src/main/java/org/martenwell/gateway/AnswerRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -13,7 +13,7 @@
  * Hands the answers of targets on to a caller: streams as they arrive, all others whole. A stream
  * that may be resumed is cut behind whole events, so that another target can go on from there.
  */
-final class AnswerRelay {
+final class ResponseRelay {
 
     /** The status of a good answer. */
     private static final int OK = 200;
@@ -51,7 +51,7 @@
      * @param core What all requests share.
      * @param exchange The request and its answer.
      */
-    AnswerRelay(GatewayCore core, CallerExchange exchange) {
+    ResponseRelay(GatewayCore core, CallerExchange exchange) {
         this.core = core;
         this.exchange = exchange;
     }
--- a/src/main/java/org/martenwell/gateway/Suspect.java
+++ b/src/main/java/org/martenwell/gateway/SuspectRequest.java
@@ -9,4 +9,4 @@
  * @param fingerprint What makes the request the same one when it comes again.
  * @param summary What operators are told of it.
  */
-record Suspect(Fingerprint fingerprint, RequestSummary summary) {}
+record SuspectRequest(Fingerprint fingerprint, RequestSummary summary) {}
--- a/src/main/java/org/martenwell/gateway/TargetEnds.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -13,7 +13,7 @@
  * tells so within a millisecond or two; where none is, the target's entry in the directory does
  * later.
  */
-final class TargetEnds {
+final class TargetCrashDetector {
 
     /**
      * For how long after an attempt broke off the end of its target is held against it, in
@@ -51,7 +51,7 @@
          * @param suspect The request.
          * @param life The target's life.
          */
-        void ended(Suspect suspect, String life);
+        void ended(SuspectRequest suspect, String life);
     }
 
     /**
@@ -60,7 +60,7 @@
      * @param suspect The request.
      * @param untilMillis Until when the end of the target is held against it, in milliseconds.
      */
-    private record Attempt(Suspect suspect, long untilMillis) {}
+    private record Attempt(SuspectRequest suspect, long untilMillis) {}
 
     /** What broke off at one life of a target. */
     private static final class Life {
@@ -87,7 +87,7 @@
      * @param reactor The loop.
      * @param listener Is told of targets that ended.
      */
-    TargetEnds(NioReactor reactor, EndListener listener) {
+    TargetCrashDetector(NioReactor reactor, EndListener listener) {
         this.reactor = reactor;
         this.listener = listener;
     }
@@ -99,7 +99,7 @@
      * @param suspect The request.
      * @param verdict Called once that is known or has taken too long.
      */
-    void broken(KnownTarget target, Suspect suspect, Runnable verdict) {
+    void broken(KnownTarget target, SuspectRequest suspect, Runnable verdict) {
         Life life = touch(target);
         if (life.ended) {
             listener.ended(suspect, name(target));
@@ -121,7 +121,7 @@
      * @param target The target.
      * @param suspect The request.
      */
-    void givenUp(KnownTarget target, Suspect suspect) {
+    void givenUp(KnownTarget target, SuspectRequest suspect) {
         long until = reactor.currentTimeMillis() + GIVEN_UP_MILLIS;
         touch(target).attempts.add(new Attempt(suspect, until));
     }
--- a/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
+++ b/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
@@ -15,7 +15,7 @@
 import org.martenwell.service.IpAddress;
 
 /** Tests what an engine is taken to keep behind a request that it did not run. */
-final class PlacedPromptTest {
+final class AssumedCacheEntriesTest {
 
     private static final PromptPart GENERAL = new PromptPart("general", 100);
 
@@ -44,7 +44,7 @@
     void testPartsThatWereNotReadAreTakenBackAndPeersAreTold() {
         core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
         load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
-        PlacedPrompt placed = PlacedPrompt.at(core, load, chain);
+        AssumedCacheEntries placed = AssumedCacheEntries.at(core, load, chain);
         assertThat(load.memory().keptTokens(chain)).isEqualTo(300);
         core.takePlaced();
         placed.takeBack();
--- a/src/test/java/org/martenwell/gateway/TargetEndsTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -20,10 +20,11 @@
 import org.martenwell.service.LoopThread;
 import org.martenwell.service.LoopbackPorts;
 
-class TargetEndsTest {
+class TargetCrashDetectorTest {
 
-    private static final Suspect SUSPECT =
-            new Suspect(new Fingerprint(1, 2), new RequestSummary("GET", "h", "/", "clinic"));
+    private static final SuspectRequest SUSPECT =
+            new SuspectRequest(
+                    new Fingerprint(1, 2), new RequestSummary("GET", "h", "/", "clinic"));
 
     private final LoopThread thread = LoopThread.start("target-ends");
 
@@ -33,8 +34,8 @@
 
     private final AtomicInteger verdicts = new AtomicInteger();
 
-    private final TargetEnds ends =
-            new TargetEnds(thread.loop(), (suspect, life) -> ended.add(life));
+    private final TargetCrashDetector ends =
+            new TargetCrashDetector(thread.loop(), (suspect, life) -> ended.add(life));
 
     private final TargetTable table = new TargetTable(thread.loop(), new EndedTargets(ends::ended));
 
