--- a/src/main/java/org/martenwell/gateway/AnswerNotice.java
+++ b/src/main/java/org/martenwell/gateway/AnswerNotice.java
@@ -1,9 +1,10 @@
 package org.martenwell.gateway;
 
 /**
- * What an answer says of the target that made it, besides its answer.
+ * A target's statement about its availability, read from the headers of a response.
  *
- * @param leaving Whether the target is about to end and takes no new work.
- * @param restMillis For how long the target wants nothing from this gateway, in milliseconds, or 0.
+ * @param leaving Whether the target is draining and takes no new requests.
+ * @param restMillis The time for which the target asks this gateway to send nothing, in
+ *     milliseconds, or 0.
  */
 public record AnswerNotice(boolean leaving, long restMillis) {}
--- a/src/main/java/org/martenwell/gateway/EngineQueue.java
+++ b/src/main/java/org/martenwell/gateway/EngineQueue.java
@@ -6,50 +6,47 @@
 import java.util.List;
 
 /**
- * Requests that wait for room at an engine. Those of the organisations that have used the least of
- * their share come first.
+ * Requests that wait for capacity at an engine. They are retried periodically, those of the
+ * organisations that have used the least of their fair share first.
  */
 final class EngineQueue {
 
-    /** How often waiting requests are looked at, if there are few, in milliseconds. */
-    private static final long LOOK_MILLIS = 5;
+    /** The retry interval of a short queue, in milliseconds. */
+    private static final long MIN_RETRY_MILLIS = 5;
 
-    /** The longest time between looks, in milliseconds. */
-    private static final long LONGEST_LOOK_MILLIS = 25;
+    private static final long MAX_RETRY_MILLIS = 25;
 
-    /** How many waiting requests make a look a millisecond later. */
-    private static final int REQUESTS_A_MILLI = 4;
+    /** The number of waiting requests for which the retry interval grows by a millisecond. */
+    private static final int REQUESTS_PER_EXTRA_MILLI = 4;
 
-    /** The loop. */
     private final NioReactor reactor;
 
     /** The waiting requests in the order of their arrival. */
     private final List<RequestDispatch> waiting = new ArrayList<>();
 
-    /** Whether a look is due. */
-    private boolean lookDue;
+    private boolean retryScheduled;
 
     /**
      * Creates an empty queue.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      */
     EngineQueue(NioReactor reactor) {
         this.reactor = reactor;
     }
 
     /**
-     * Adds a request.
+     * Adds a request and schedules its retry.
      *
      * @param request The request.
      */
     void add(RequestDispatch request) {
         waiting.add(request);
-        lookLater();
+        scheduleRetry();
     }
 
     /**
-     * Removes a request.
+     * Removes a request, if it waits.
      *
      * @param request The request.
      */
@@ -58,44 +55,38 @@
     }
 
     /**
-     * Returns whether no request waits.
+     * Returns whether the queue is empty.
      *
-     * @return {@code true} if none waits.
+     * @return {@code true} if no request waits.
      */
     boolean isEmpty() {
         return waiting.isEmpty();
     }
 
     /**
-     * Returns how many requests wait.
+     * Returns the length of the queue.
      *
-     * @return The number of requests.
+     * @return The number of waiting requests.
      */
     int size() {
         return waiting.size();
     }
 
-    /** Looks at waiting requests soon. */
-    private void lookLater() {
-        if (!lookDue && !waiting.isEmpty()) {
-            lookDue = true;
-            reactor.delayBackground(lookMillis(), this::look);
+    private void scheduleRetry() {
+        if (!retryScheduled && !waiting.isEmpty()) {
+            retryScheduled = true;
+            reactor.delayBackground(retryMillis(), this::retryAll);
         }
     }
 
-    /**
-     * Returns the time until the next look: the more requests wait, the longer, so that looking at
-     * them takes a bounded part of the processor.
-     *
-     * @return The time in milliseconds.
-     */
-    private long lookMillis() {
-        return Math.min(LONGEST_LOOK_MILLIS, LOOK_MILLIS + waiting.size() / REQUESTS_A_MILLI);
+    /** Returns the retry interval, which grows with the queue to bound the processor time. */
+    private long retryMillis() {
+        return Math.min(
+                MAX_RETRY_MILLIS, MIN_RETRY_MILLIS + waiting.size() / REQUESTS_PER_EXTRA_MILLI);
     }
 
-    /** Lets waiting requests try again. */
-    private void look() {
-        lookDue = false;
+    private void retryAll() {
+        retryScheduled = false;
         List<RequestDispatch> order = new ArrayList<>(waiting);
         order.sort(Comparator.comparingDouble(each -> each.shareUse().promised()));
         for (RequestDispatch each : order) {
@@ -103,6 +94,6 @@
                 each.tryAgain();
             }
         }
-        lookLater();
+        scheduleRetry();
     }
 }
--- a/src/main/java/org/martenwell/gateway/GenerationFacts.java
+++ b/src/main/java/org/martenwell/gateway/GenerationFacts.java
@@ -4,12 +4,12 @@
 import org.martenwell.prompt.PromptPart;
 
 /**
- * What a caller states about a request to a model.
+ * Properties of a model request, as stated by its caller.
  *
- * @param model The model.
- * @param promptTokens The size of the prompt in tokens.
- * @param answerTokens How many tokens the answer probably has.
- * @param parts The parts of the prompt in order.
+ * @param model The name of the model.
+ * @param promptTokens The size of the prompt, in tokens.
+ * @param answerTokens The expected size of the response, in tokens.
+ * @param parts The parts of the prompt, in order.
  */
 public record GenerationFacts(
         String model, long promptTokens, long answerTokens, List<PromptPart> parts) {}
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -8,106 +8,109 @@
 import org.martenwell.prompt.KeptChanges;
 import org.martenwell.prompt.KeptPart;
 
-/** How callers and targets of a deployment put things in headers. It decides nothing. */
+/**
+ * Translation between the gateway and the headers and documents that a deployment's callers and
+ * targets use. Implementations only read and write; all decisions are the gateway's.
+ */
 public interface RequestDialect {
 
     /**
-     * Reads what a caller states.
+     * Reads the metadata of a caller's request.
      *
      * @param headers The request's headers.
-     * @return What it states.
+     * @return The metadata.
      */
     RequestFacts read(HttpHeaders headers);
 
     /**
-     * Writes the headers of a request to a target.
+     * Builds the headers of a request that is forwarded to a target.
      *
      * @param headers The caller's headers.
-     * @param facts What the gateway tells.
-     * @return The headers, without those of the caller's connection.
+     * @param facts The values that the gateway adds.
+     * @return The headers, without the hop-by-hop headers of the caller's connection.
      */
     HttpHeaders forTarget(HttpHeaders headers, SendFacts facts);
 
     /**
-     * Writes the headers of an answer to a caller.
+     * Builds the headers of a target's response that is forwarded to a caller.
      *
      * @param headers The target's headers.
-     * @return The headers, without those of the target's connection.
+     * @return The headers, without the hop-by-hop headers of the target's connection.
      */
     HttpHeaders forCaller(HttpHeaders headers);
 
     /**
-     * Writes the headers of an answer of the gateway's own.
+     * Builds the headers of a response that the gateway generates itself.
      *
-     * @param facts What the caller stated.
+     * @param facts The metadata of the caller's request.
      * @return The headers.
      */
     HttpHeaders ownAnswer(RequestFacts facts);
 
     /**
-     * Tells whether an answer belongs to a request.
+     * Tells whether a response belongs to a request.
      *
-     * @param answer The answer's head.
-     * @param facts What the caller of the request stated.
-     * @return {@code true} if it does.
+     * @param answer The response's head.
+     * @param facts The metadata of the caller's request.
+     * @return {@code true} if the response belongs to the request.
      */
     boolean belongs(HttpResponse answer, RequestFacts facts);
 
     /**
-     * Tells whether an answer says that the request did not run.
+     * Tells whether a response states that the request was not run.
      *
-     * @param answer The answer's head.
-     * @return {@code true} if it says so.
+     * @param answer The response's head.
+     * @return {@code true} if the target did not run the request.
      */
     boolean notRun(HttpResponse answer);
 
     /**
-     * Reads what an answer says of the target that made it.
+     * Reads a target's availability from a response.
      *
-     * @param answer The answer's head.
-     * @param dayMillis The time of day in milliseconds since 1970.
-     * @return What it says.
+     * @param answer The response's head.
+     * @param dayMillis The wall-clock time, in milliseconds since the epoch.
+     * @return The target's availability.
      */
     AnswerNotice notice(HttpResponse answer, long dayMillis);
 
     /**
-     * Returns the path at which a target lists the parts of prompts that it keeps.
+     * Returns the path at which a target lists its cached prompt parts.
      *
      * @return The path.
      */
     String keptPartsPath();
 
     /**
-     * Reads the parts of prompts that a target keeps.
+     * Parses a target's list of cached prompt parts.
      *
-     * @param body The target's answer.
-     * @return The parts.
+     * @param body The body of the target's response.
+     * @return The cached parts.
      */
     List<KeptPart> keptParts(Body body);
 
     /**
-     * Makes the request by which a target tells how what it keeps has changed.
+     * Builds the long-polling request for changes of a target's prompt cache.
      *
      * @param host The target's address as text.
-     * @param since Where to go on, 0 to begin.
-     * @param waitMillis How long the target may wait for a change, in milliseconds.
+     * @param since The position after the last change that was read, 0 to start from the beginning.
+     * @param waitMillis The longest time that the target may wait for a change, in milliseconds.
      * @return The request.
      */
     TargetRequestHead keptChangesRequest(String host, long since, long waitMillis);
 
     /**
-     * Reads how what a target keeps has changed.
+     * Parses changes of a target's prompt cache.
      *
-     * @param body The target's answer.
+     * @param body The body of the target's response.
      * @return The changes.
      */
     KeptChanges keptChanges(Body body);
 
     /**
-     * Tells whether an answer was made by a target, rather than spoilt on its way.
+     * Tells whether a response was produced by a target rather than corrupted in transit.
      *
-     * @param answer The answer's head.
-     * @return {@code true} if it bears a target's mark.
+     * @param answer The response's head.
+     * @return {@code true} if the response carries the header that every target sets.
      */
     boolean genuine(HttpResponse answer);
 }
--- a/src/main/java/org/martenwell/gateway/RequestFacts.java
+++ b/src/main/java/org/martenwell/gateway/RequestFacts.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * What a caller states about a request.
+ * Properties of a request that its caller states in the headers.
  *
- * @param requestId The id of the caller's attempt, or empty.
- * @param host The host that the caller names.
- * @param waitMillis How long the caller waits, in milliseconds, or empty.
- * @param key The caller's key.
- * @param lastEventId The last event that the caller has, if it resumes a stream.
- * @param generation What it states about a prompt, if it is for a model.
+ * @param requestId The id that the caller gave to this attempt, or empty.
+ * @param host The host that the request is addressed to.
+ * @param waitMillis The caller's timeout, in milliseconds, or empty if it stated none.
+ * @param key The caller's API key, or empty if it sent none.
+ * @param lastEventId The id of the last event that the caller received, if it resumes a stream.
+ * @param generation The properties of the prompt, or empty if the request is not for a model.
  */
 public record RequestFacts(
         Optional<String> requestId,
--- a/src/main/java/org/martenwell/gateway/RequestIdentity.java
+++ b/src/main/java/org/martenwell/gateway/RequestIdentity.java
@@ -7,33 +7,30 @@
 import org.martenwell.route.Route;
 
 /**
- * What makes a request the same one when it comes again. Bodies are hashed when that is first asked
- * for, so that a request of which nothing bad is known costs nothing.
+ * Fingerprint of a request, by which a repeated request is recognised. It is computed on first use,
+ * so that bodies are hashed only for requests that may be quarantined.
  */
 final class RequestIdentity {
 
-    /** Computes fingerprints. */
     private final FingerprintFunction function;
 
-    /** The request. */
     private final CallerRequest request;
 
-    /** The request's route. */
     private final Route route;
 
     /** The caller's organisation, empty where callers have no keys. */
     private final String organisation;
 
-    /** The scope or {@code null} until it is asked for. */
+    /** The scope or {@code null} until it is computed. */
     private Long scope;
 
-    /** The fingerprint or {@code null} until it is asked for. */
+    /** The fingerprint or {@code null} until it is computed. */
     private Fingerprint fingerprint;
 
     /**
      * Creates an identity.
      *
-     * @param function Computes fingerprints.
+     * @param function The function that computes fingerprints.
      * @param request The request.
      * @param route The request's route.
      * @param organisation The caller's organisation, empty where callers have no keys.
@@ -47,9 +44,9 @@
     }
 
     /**
-     * Returns the part of the fingerprint that the body does not change.
+     * Returns the part of the fingerprint that does not depend on the body.
      *
-     * @return The hash.
+     * @return The hash of method, host, request target and organisation.
      */
     long scope() {
         if (scope == null) {
@@ -61,7 +58,7 @@
     }
 
     /**
-     * Returns the fingerprint.
+     * Returns the fingerprint. The first call hashes the body.
      *
      * @return The fingerprint.
      */
@@ -73,9 +70,9 @@
     }
 
     /**
-     * Returns what is kept of the request while its target may have ended.
+     * Returns the record of the request that is kept while its target may have crashed.
      *
-     * @return The request without its body.
+     * @return The fingerprint and a summary, without the body.
      */
     SuspectRequest suspect() {
         RequestSummary summary =
--- a/src/main/java/org/martenwell/gateway/SendFacts.java
+++ b/src/main/java/org/martenwell/gateway/SendFacts.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * What a gateway tells a target with a request.
+ * Values that a gateway adds to the headers of a request when it forwards it to a target.
  *
- * @param target The id of the target that is meant.
- * @param leftMillis How long the caller still waits, in milliseconds, or empty if it did not say.
+ * @param target The id of the target that the request is meant for.
+ * @param leftMillis The time until the caller's timeout, in milliseconds, or empty if the caller
+ *     stated none.
  * @param organisation The caller's organisation, or empty on an anonymous route.
- * @param lastEventId The last event that the caller has, if a stream is resumed.
- * @param copyFrom The target that hands over what it keeps of the prompt, or empty.
+ * @param lastEventId The id of the last event that the caller received, if a stream is resumed.
+ * @param copyFrom The address of a target to copy cached prompt parts from, or empty.
  */
 public record SendFacts(
         String target,
--- a/src/main/java/org/martenwell/gateway/SuspectRequest.java
+++ b/src/main/java/org/martenwell/gateway/SuspectRequest.java
@@ -4,9 +4,10 @@
 import org.martenwell.quarantine.RequestSummary;
 
 /**
- * A request that a target had when it may have ended. It holds no body.
+ * A request that was in progress at a target when the target may have crashed. It does not retain
+ * the body.
  *
- * @param fingerprint What makes the request the same one when it comes again.
- * @param summary What operators are told of it.
+ * @param fingerprint The fingerprint, by which a repeated request is recognised.
+ * @param summary The description that is shown to operators.
  */
 record SuspectRequest(Fingerprint fingerprint, RequestSummary summary) {}
--- a/src/test/java/org/martenwell/gateway/EndedTargets.java
+++ b/src/test/java/org/martenwell/gateway/EndedTargets.java
@@ -5,7 +5,7 @@
 import org.martenwell.balance.NoticeSource;
 import org.martenwell.balance.TargetLoad;
 
-/** Hands on in tests which targets ended, and nothing else. */
+/** Listener that forwards only the end of targets, for tests. */
 record EndedTargets(Consumer<KnownTarget> ended) implements TargetTableListener {
 
     @Override
--- a/src/test/java/org/martenwell/gateway/GatewayCores.java
+++ b/src/test/java/org/martenwell/gateway/GatewayCores.java
@@ -14,7 +14,7 @@
 import org.martenwell.route.WeightedService;
 import org.martenwell.settings.GatewaySettings;
 
-/** Makes cores of gateways for tests that need no connections. */
+/** Factory of gateway cores and configurations for tests without connections. */
 final class GatewayCores {
 
     /** The name of the only service. */
@@ -22,7 +22,7 @@
 
     private GatewayCores() {}
 
-    /** Makes a core that knows no configuration and no targets. */
+    /** Creates a core without a configuration and without targets. */
     static GatewayCore of(NioReactor loop) {
         return new GatewayCore(
                 loop,
@@ -32,12 +32,12 @@
                 new GatewayLog(loop));
     }
 
-    /** Makes a configuration of one service of engines without routes. */
+    /** Creates a configuration with one engine service, no routes and no promised capacity. */
     static GatewayConfiguration configuration(EngineTerms engine) {
         return configuration(engine, 0);
     }
 
-    /** Makes the same for a fleet that is promised to produce so many tokens a second. */
+    /** Creates a configuration with one engine service, no routes and a promised capacity. */
     static GatewayConfiguration configuration(EngineTerms engine, long tokensPerSecond) {
         return new GatewayConfiguration(
                 1,
@@ -49,7 +49,7 @@
                 Map.of());
     }
 
-    /** Makes a route of streams to that service. */
+    /** Creates a streaming route to the service. */
     static Route route(long objectiveMillis) {
         return new Route(
                 "r",
@@ -66,7 +66,7 @@
                 0);
     }
 
-    /** Makes the settings of a gateway that runs on no deployment. */
+    /** Creates gateway settings with unused addresses. */
     static GatewaySettings settings(String name, String failureDomain, String peerAddress) {
         return new GatewaySettings(
                 name,
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -19,9 +19,9 @@
 import org.martenwell.service.IpAddress;
 
 /**
- * Lets targets start again, lapse, come back as they were, leave and rest, told by the directory,
- * by peers and by answers of present and former lives, in any order. A target takes requests
- * exactly if its present life has neither said that it leaves nor rests.
+ * Property test of the target table with random sequences of restarts, removals, drains and pauses,
+ * reported by the directory, by peers and by responses of present and former incarnations. A target
+ * accepts requests exactly if its present incarnation neither drains nor is paused.
  */
 final class TargetAvailabilityTest {
 
@@ -29,23 +29,23 @@
 
     private static final int STEPS = 120;
 
-    private final Set<String> left = new HashSet<>();
+    private final Set<String> draining = new HashSet<>();
 
-    private final Map<String, Long> restUntil = new HashMap<>();
+    private final Map<String, Long> pausedUntil = new HashMap<>();
 
-    /** All targets that the table ever had, former lives among them. */
+    /** All targets that were ever in the table, by incarnation. */
     private final Map<String, TargetLoad> everKnown = new HashMap<>();
 
-    private final Map<String, DirectoryTarget> told = new HashMap<>();
+    private final Map<String, DirectoryTarget> directory = new HashMap<>();
 
     private long now;
 
     private TargetTable table;
 
     @Property(tries = 200, seed = "46")
-    void testTargetTakesRequestsExactlyIfNoWordOfItsLifeSpeaksAgainstIt(
+    void testTargetAcceptsRequestsUnlessItsIncarnationDrainsOrIsPaused(
             @ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
-        start();
+        reset();
         Random random = new Random(seed);
         for (int step = 0; step < STEPS; step++) {
             now += random.nextInt(300);
@@ -54,12 +54,12 @@
         }
     }
 
-    /** Tries share the object, so each begins with nothing known. */
-    private void start() {
-        left.clear();
-        restUntil.clear();
+    /** Resets the state, since all tries share one test instance. */
+    private void reset() {
+        draining.clear();
+        pausedUntil.clear();
         everKnown.clear();
-        told.clear();
+        directory.clear();
         now = 0;
         table =
                 new TargetTable(
@@ -69,49 +69,49 @@
 
     private void step(Random random, String id) {
         switch (random.nextInt(6)) {
-            case 0, 1 -> tell(target(id, random.nextInt(3), random.nextInt(5) == 0));
-            case 2 -> lapse(id);
+            case 0, 1 -> publish(target(id, random.nextInt(3), random.nextInt(5) == 0));
+            case 2 -> remove(id);
             case 3 -> {
-                String life = id + "@" + random.nextInt(3);
-                table.leavingByPeer(life, now);
-                left.add(life);
+                String incarnation = id + "@" + random.nextInt(3);
+                table.leavingByPeer(incarnation, now);
+                draining.add(incarnation);
             }
-            default -> answer(random);
+            default -> receiveNotice(random);
         }
     }
 
-    private void tell(DirectoryTarget target) {
-        told.put(target.id(), target);
+    private void publish(DirectoryTarget target) {
+        directory.put(target.id(), target);
         if (target.leaving()) {
-            left.add(target.life());
+            draining.add(target.life());
         }
         update();
     }
 
-    private void lapse(String id) {
-        told.remove(id);
+    private void remove(String id) {
+        directory.remove(id);
         update();
     }
 
     private void update() {
-        table.update(Map.copyOf(told));
+        table.update(Map.copyOf(directory));
         table.all().forEach(each -> everKnown.put(each.load().target().life(), each.load()));
     }
 
-    /** Takes in what an answer of some life says, which may come late. */
-    private void answer(Random random) {
+    /** Applies a notice of a present or former incarnation. */
+    private void receiveNotice(Random random) {
         if (everKnown.isEmpty()) {
             return;
         }
-        List<String> lives = everKnown.keySet().stream().sorted().toList();
-        String life = lives.get(random.nextInt(lives.size()));
+        List<String> incarnations = everKnown.keySet().stream().sorted().toList();
+        String incarnation = incarnations.get(random.nextInt(incarnations.size()));
         if (random.nextInt(4) == 0) {
-            everKnown.get(life).availability().leave(NoticeSource.ANSWER, now);
-            left.add(life);
+            everKnown.get(incarnation).availability().leave(NoticeSource.ANSWER, now);
+            draining.add(incarnation);
         } else {
             long millis = random.nextInt(4_000);
-            everKnown.get(life).availability().rest(millis, now);
-            restUntil.merge(life, now + millis, Math::max);
+            everKnown.get(incarnation).availability().rest(millis, now);
+            pausedUntil.merge(incarnation, now + millis, Math::max);
         }
     }
 
@@ -123,19 +123,19 @@
 
     private Set<String> expected() {
         Set<String> expected = new HashSet<>();
-        for (DirectoryTarget each : told.values()) {
-            boolean rests = now < restUntil.getOrDefault(each.life(), 0L);
-            if (!left.contains(each.life()) && !rests) {
+        for (DirectoryTarget each : directory.values()) {
+            boolean paused = now < pausedUntil.getOrDefault(each.life(), 0L);
+            if (!draining.contains(each.life()) && !paused) {
                 expected.add(each.life());
             }
         }
         return expected;
     }
 
-    private static DirectoryTarget target(String id, long born, boolean leaving) {
+    private static DirectoryTarget target(String id, long startMillis, boolean leaving) {
         return new DirectoryTarget(
                 id,
-                OptionalLong.of(born),
+                OptionalLong.of(startMillis),
                 "service",
                 IpAddress.of("127.0.0.1:1"),
                 "zone",
