--- a/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
+++ b/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
@@ -7,59 +7,51 @@
 import org.martenwell.prompt.PromptChain;
 
 /**
- * The parts of a prompt that an engine is taken to keep because a request was sent to it. They are
- * taken back if the engine turns out not to have read them: its own word tells only of parts that
- * come and go, so a wrong belief would stay and let others read the parts there anew.
+ * Prompt parts that are assumed to be in an engine's cache because a request with them was sent to
+ * it. They are rolled back if the engine did not prefill the prompt: engines report only changes of
+ * their cache, so nothing else would correct the assumption.
  */
 final class AssumedCacheEntries {
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** The engine. */
     private final TargetLoad load;
 
-    /** The keys of the parts that it did not keep before. */
-    private final List<Long> keys;
+    /** The keys of the parts that were not known to be cached before. */
+    private final List<Long> addedKeys;
 
-    /**
-     * Creates placed parts.
-     *
-     * @param core What all requests share.
-     * @param load The engine.
-     * @param keys The keys of the parts that it did not keep before.
-     */
-    private AssumedCacheEntries(GatewayCore core, TargetLoad load, List<Long> keys) {
+    private AssumedCacheEntries(GatewayCore core, TargetLoad load, List<Long> addedKeys) {
         this.core = core;
         this.load = load;
-        this.keys = keys;
+        this.addedKeys = addedKeys;
     }
 
     /**
-     * Notes that an engine keeps the parts of a prompt from now on.
+     * Records that an engine caches the parts of a prompt, and queues this for the next report to
+     * peers.
      *
-     * @param core What all requests share.
+     * @param core The state that all requests share.
      * @param load The engine.
-     * @param chain The parts.
-     * @return The parts that it did not keep before.
+     * @param chain The parts of the prompt.
+     * @return The entries that were added, for {@link #rollBack}.
      */
-    static AssumedCacheEntries at(GatewayCore core, TargetLoad load, PromptChain chain) {
-        List<Long> keys = new ArrayList<>();
+    static AssumedCacheEntries add(GatewayCore core, TargetLoad load, PromptChain chain) {
+        List<Long> addedKeys = new ArrayList<>();
         for (int index = 0; index < chain.length(); index++) {
             if (!load.memory().keeps(chain.key(index))) {
-                keys.add(chain.key(index));
+                addedKeys.add(chain.key(index));
             }
         }
-        if (!keys.isEmpty()) {
+        if (!addedKeys.isEmpty()) {
             core.placed(load.target().life(), chain);
         }
         load.memory().keep(chain, core.keptCapacity(load));
-        return new AssumedCacheEntries(core, load, keys);
+        return new AssumedCacheEntries(core, load, addedKeys);
     }
 
-    /** Notes that the engine has not read the parts. */
-    void takeBack() {
-        for (long key : keys) {
+    /** Removes the added entries because the engine did not prefill the prompt. */
+    void rollBack() {
+        for (long key : addedKeys) {
             if (load.memory().drop(key)) {
                 core.placed(new PlacedPart(load.target().life(), key, 0));
             }
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -16,57 +16,53 @@
 import org.martenwell.share.ShareTier;
 import org.martenwell.share.ShareUse;
 
-/** Decides for one request to a model engine: which engine, or to wait, or to give it up. */
+/** Routing of one model request: the choice of an engine, and the decision to wait or to refuse. */
 final class EngineRouting {
 
-    /** The part of an objective for which a request waits for room. */
-    private static final double WAIT_SHARE = 0.2;
+    /** The part of the route's latency objective for which a request may wait for capacity. */
+    private static final double MAX_WAIT_PART = 0.2;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** What the request needs. */
     private final PromptNeed need;
 
-    /** What engines hold. */
     private final EngineTerms engine;
 
-    /** The engines' service. */
     private final String service;
 
-    /** Which fair share the request was within when it was last decided. */
+    /** The share tier of the request at the last decision. */
     private ShareTier tier = ShareTier.PROMISED;
 
-    /** What the engine of the present attempt is taken to keep, until its answer begins. */
-    private Optional<AssumedCacheEntries> placed = Optional.empty();
+    /** The cache entries assumed by the present attempt, until its response begins. */
+    private Optional<AssumedCacheEntries> assumedEntries = Optional.empty();
 
-    /** How the request is counted as served, if it is. */
-    private Optional<Counted> counted = Optional.empty();
+    /** The charge for the request to its organisation's share, empty if there is none. */
+    private Optional<ShareCharge> charge = Optional.empty();
 
     /**
-     * How a request is counted as served.
+     * Charge for a request to the share of its organisation.
      *
-     * @param tier Which share it was within when it was sent.
-     * @param sentMillis When it was sent, in milliseconds.
+     * @param tier The share tier of the request when it was sent.
+     * @param sentMillis The time at which it was sent, in milliseconds.
      */
-    private record Counted(ShareTier tier, long sentMillis) {}
+    private record ShareCharge(ShareTier tier, long sentMillis) {}
 
     /**
-     * What becomes of a request now.
+     * Outcome of a routing decision. Without a choice and a refusal, the request waits.
      *
-     * @param choice The engine that serves it, if there is one.
-     * @param refusal Why it is given up, if it is; without a choice and a refusal it waits.
-     * @param use How much of its fair shares the organisation has used.
+     * @param choice The engine to send the request to, or empty.
+     * @param refusal The error with which the request is refused, or empty.
+     * @param use The use that the organisation has made of its fair shares.
      */
     record Decision(Optional<EngineChoice> choice, Optional<ErrorKind> refusal, ShareUse use) {}
 
     /**
      * Creates the routing of a request.
      *
-     * @param core What all requests share.
-     * @param need What the request needs.
-     * @param engine What engines hold.
-     * @param service The engines' service.
+     * @param core The state that all requests share.
+     * @param need The resources that the request needs.
+     * @param engine The capacity of the engines.
+     * @param service The name of the engines' service.
      */
     EngineRouting(GatewayCore core, PromptNeed need, EngineTerms engine, String service) {
         this.core = core;
@@ -75,8 +71,8 @@
         this.service = service;
     }
 
-    /** Notes that the request asks for its tokens and shares parts of its prompt. */
-    void asked() {
+    /** Records the organisation's demand and the prompt parts that the request may share. */
+    void recordDemand() {
         for (int index = 0; index < need.chain().length(); index++) {
             core.sharedKeys().seen(need.chain().key(index));
         }
@@ -84,25 +80,26 @@
     }
 
     /**
-     * Returns how much of its fair shares the organisation has used.
+     * Returns the use that the organisation has made of its fair shares.
      *
-     * @return What it has used.
+     * @return The use, with the cost of this request taken into account.
      */
-    ShareUse use() {
+    ShareUse shareUse() {
         return core.shares().use(need.organisation(), need.cost(), core.windowTokens(), core.now());
     }
 
     /**
-     * Decides what becomes of the request.
+     * Decides whether the request is sent, waits or is refused. A request that was attempted before
+     * neither waits nor is refused: it goes to the least loaded engine if none has capacity.
      *
-     * @param open The engines that take requests, one at least.
-     * @param attempts To how many engines it was sent.
-     * @param route Its route.
+     * @param open The engines that accept requests, at least one.
+     * @param attempts The number of earlier attempts.
+     * @param route The request's route.
      * @return The decision.
      */
     Decision decide(List<TargetLoad> open, int attempts, Route route) {
         long now = core.now();
-        ShareUse use = use();
+        ShareUse use = shareUse();
         tier = use.tier();
         List<TargetLoad> allowed = allowed(open);
         Optional<EngineChoice> choice = choose(open, allowed, now).or(() -> chooseIdle(open, now));
@@ -110,13 +107,12 @@
             return new Decision(choice, Optional.empty(), use);
         }
         if (attempts > 0) {
-            // It has waited enough already.
-            return new Decision(leastLoaded(open, now), Optional.empty(), use);
+            return new Decision(chooseLeastLoaded(open, now), Optional.empty(), use);
         }
         if (tier == ShareTier.BEYOND || allowed.isEmpty()) {
             return new Decision(choice, Optional.of(ErrorKind.RATE_EXCEEDED), use);
         }
-        if (now - need.arrivedMillis() >= WAIT_SHARE * route.objectiveMillis()) {
+        if (now - need.arrivedMillis() >= MAX_WAIT_PART * route.objectiveMillis()) {
             return new Decision(choice, Optional.of(ErrorKind.WAIT_TOO_LONG), use);
         }
         return new Decision(choice, Optional.empty(), use);
@@ -125,8 +121,8 @@
     /**
      * Returns the engines that the request may use.
      *
-     * @param open The engines that take requests.
-     * @return All of them within the organisation's share, else those that are not reserved.
+     * @param open The engines that accept requests.
+     * @return All engines for a request within its promised share, else the unreserved ones.
      */
     private List<TargetLoad> allowed(List<TargetLoad> open) {
         return tier == ShareTier.PROMISED
@@ -135,13 +131,13 @@
     }
 
     /**
-     * Chooses a reserved engine that has nothing to do. One gateway reckons from its own prompts
-     * how many engines to reserve; with long ones it reserves all, and refused an organisation
-     * below its share of what is produced while engines were idle.
+     * Chooses an idle engine, even a reserved one, for a request within its observed share. Each
+     * gateway sizes the reserve by its own prompts; without this, one with long prompts would
+     * reserve all engines and refuse such a request although engines are idle.
      *
-     * @param open The engines that take requests.
+     * @param open The engines that accept requests.
      * @param now The present time, in milliseconds.
-     * @return The choice or empty if the request is beyond that share too or none is idle.
+     * @return The choice, or empty if no engine is idle or the request exceeds that share too.
      */
     private Optional<EngineChoice> chooseIdle(List<TargetLoad> open, long now) {
         if (tier != ShareTier.OBSERVED) {
@@ -152,12 +148,12 @@
     }
 
     /**
-     * Chooses an engine with room.
+     * Chooses an engine with capacity.
      *
-     * @param open The engines that take requests.
-     * @param allowed Those that the request may use.
+     * @param open The engines that accept requests.
+     * @param allowed The engines that the request may use.
      * @param now The present time, in milliseconds.
-     * @return The choice or empty if none has room.
+     * @return The choice, or empty if no engine has capacity.
      */
     private Optional<EngineChoice> choose(
             List<TargetLoad> open, List<TargetLoad> allowed, long now) {
@@ -167,89 +163,87 @@
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        PromptKeepers keepers = PromptKeepers.of(need.chain(), allowed, handingOver(open, allowed));
+        PromptKeepers keepers = PromptKeepers.of(need.chain(), allowed, copySources(open, allowed));
         double unseen = core.unseen().perTarget(open.size(), now);
         return chooser.choose(need, tier, candidates, keepers, engine, rate, unseen, now);
     }
 
     /**
-     * Returns the engines that the request may not use but that may hand parts of its prompt over.
+     * Returns the engines that can't serve the request but may supply cached parts of its prompt.
      *
-     * @param open The engines that take requests.
-     * @param allowed Those that the request may use.
-     * @return The others and those that are leaving.
+     * @param open The engines that accept requests.
+     * @param allowed The engines that the request may use.
+     * @return The engines that the request may not use and those that are draining.
      */
-    private List<TargetLoad> handingOver(List<TargetLoad> open, List<TargetLoad> allowed) {
-        List<TargetLoad> others = new ArrayList<>(core.targets().leaving(service));
+    private List<TargetLoad> copySources(List<TargetLoad> open, List<TargetLoad> allowed) {
+        List<TargetLoad> sources = new ArrayList<>(core.targets().leaving(service));
         if (allowed.size() < open.size()) {
-            open.stream().filter(each -> !allowed.contains(each)).forEach(others::add);
+            open.stream().filter(each -> !allowed.contains(each)).forEach(sources::add);
         }
-        return others;
+        return sources;
     }
 
     /**
-     * Notes what sending the request to an engine changes.
+     * Records that the request is sent to an engine: charges the share, once for all attempts, and
+     * updates the estimates of load and of the engine's cache.
      *
-     * @param choice The engine and why it was chosen.
+     * @param choice The chosen engine.
      */
-    void sent(EngineChoice choice) {
-        boolean first = counted.isEmpty();
+    void recordSent(EngineChoice choice) {
+        boolean first = charge.isEmpty();
         if (first) {
             core.shares().begun(need.organisation(), need.cost(), tier, core.now());
-            counted = Optional.of(new Counted(tier, core.now()));
+            charge = Optional.of(new ShareCharge(tier, core.now()));
         }
         double promptMillis = core.targets().rate(service).millis(choice.unreadTokens());
         core.unseen().sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, need.cost());
         }
-        placed = Optional.of(AssumedCacheEntries.at(core, choice.load(), need.chain()));
+        assumedEntries = Optional.of(AssumedCacheEntries.add(core, choice.load(), need.chain()));
     }
 
     /**
-     * Notes that the engine has not read the prompt, as far as is known. Behind a crash of engines
-     * an organisation would else pay up to four times for a request that nobody served.
+     * Rolls back the cache entries and the charge of an attempt that ended before its response
+     * began, so that an organisation is not charged for requests that no engine served. Has no
+     * effect once the response has begun.
      */
-    void notRead() {
-        if (placed.isEmpty()) {
+    void rollBackSent() {
+        if (assumedEntries.isEmpty()) {
             return;
         }
-        placed.get().takeBack();
-        placed = Optional.empty();
-        counted.ifPresent(this::takeBack);
-        counted = Optional.empty();
+        assumedEntries.get().rollBack();
+        assumedEntries = Optional.empty();
+        charge.ifPresent(this::refund);
+        charge = Optional.empty();
     }
 
-    /**
-     * Takes back that the request is counted as served.
-     *
-     * @param request How it is counted.
-     */
-    private void takeBack(Counted request) {
+    private void refund(ShareCharge refunded) {
         core.shares()
                 .notBegun(
                         need.organisation(),
                         need.cost(),
-                        request.tier(),
-                        request.sentMillis(),
+                        refunded.tier(),
+                        refunded.sentMillis(),
                         core.now());
     }
 
     /**
-     * Notes that the first event of an answer arrived.
+     * Records that the first event of the response arrived, which confirms the prefill and measures
+     * its rate.
      *
-     * @param running The request at its engine.
+     * @param running The request as it runs at its engine.
      */
-    void begun(RunningRequest running) {
-        placed = Optional.empty();
+    void recordResponseStart(RunningRequest running) {
+        assumedEntries = Optional.empty();
         core.targets().rate(service).observe(running, core.now() - running.sentMillis());
     }
 
     /**
-     * Returns what the request puts on an engine.
+     * Returns the load that the request puts on an engine.
      *
-     * @param choice The engine and why it was chosen.
-     * @return The request at its engine.
+     * @param choice The chosen engine.
+     * @return The request as it runs at the engine, sent now.
      */
     RunningRequest running(EngineChoice choice) {
         return new RunningRequest(
@@ -260,37 +254,30 @@
     }
 
     /**
-     * Returns the request's organisation.
+     * Returns the organisation that the request is charged to.
      *
-     * @return The organisation's name.
+     * @return The organisation's name, empty if callers have no keys.
      */
     String organisation() {
         return need.organisation();
     }
 
-    /**
-     * Chooses the least loaded engine, whether it has room or not.
-     *
-     * @param open The engines.
-     * @param now The present time, in milliseconds.
-     * @return The engine.
-     */
-    private Optional<EngineChoice> leastLoaded(List<TargetLoad> open, long now) {
-        return core.services().choose(open, now).map(load -> anyway(load, open));
+    private Optional<EngineChoice> chooseLeastLoaded(List<TargetLoad> open, long now) {
+        return core.services().choose(open, now).map(load -> choiceWithoutCapacity(load, open));
     }
 
     /**
-     * Chooses an engine that has no room.
+     * Builds the choice of an engine that has no capacity.
      *
      * @param load The engine.
-     * @param open The engines that take requests.
-     * @return The choice.
+     * @param open The engines that accept requests.
+     * @return The choice, with an unlimited backlog.
      */
-    private EngineChoice anyway(TargetLoad load, List<TargetLoad> open) {
+    private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> open) {
         PromptKeepers keepers =
                 PromptKeepers.of(need.chain(), open, core.targets().leaving(service));
         Optional<TargetLoad> source = engine.copies() ? keepers.source(load) : Optional.empty();
-        long kept = source.isPresent() ? keepers.most() : keepers.keptTokens(load);
-        return new EngineChoice(load, need.promptTokens() - kept, Double.MAX_VALUE, source);
+        long cachedTokens = source.isPresent() ? keepers.most() : keepers.keptTokens(load);
+        return new EngineChoice(load, need.promptTokens() - cachedTokens, Double.MAX_VALUE, source);
     }
 }
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -9,47 +9,36 @@
 import org.martenwell.prompt.PromptMemory;
 
 /**
- * An engine whose word on what it keeps of prompts is followed. Its changes come late and some
- * never come, so they correct what is believed and do not replace it.
+ * Long poll of one engine for changes of its prompt cache. Changes arrive late and some are lost,
+ * so they correct the gateway's assumptions about the cache rather than replace them.
  */
 final class FollowedEngine {
 
-    /** How long an engine may hold a call while nothing changes, in milliseconds. */
-    private static final long WAIT_MILLIS = 1_000;
+    /** The longest time that an engine may hold a call while nothing changes, in milliseconds. */
+    private static final long POLL_WAIT_MILLIS = 1_000;
 
-    /** How long a call may take beyond that, in milliseconds. */
-    private static final long CALL_MILLIS = 1_500;
+    /** The time that a call may take beyond {@link #POLL_WAIT_MILLIS}, in milliseconds. */
+    private static final long EXTRA_TIMEOUT_MILLIS = 1_500;
 
-    /** How long it is from an answer to the next call, in milliseconds. */
-    private static final long PAUSE_MILLIS = 250;
+    /** The delay between a response and the next call, in milliseconds. */
+    private static final long INTERVAL_MILLIS = 250;
 
-    /** How long it is from a failure to the next call, in milliseconds. */
-    private static final long FAILURE_MILLIS = 2_000;
+    /** The delay between a failed call and the next one, in milliseconds. */
+    private static final long FAILURE_BACKOFF_MILLIS = 2_000;
 
-    /** The status of a good answer. */
     private static final int OK = 200;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** The engine. */
     private final KnownTarget target;
 
-    /** Carries the calls. */
     private final HttpCaller caller;
 
-    /** Where to go on. */
+    /** The position in the engine's log of changes to continue from. */
     private long since;
 
-    /** Whether the engine is no longer followed. */
     private boolean closed;
 
-    /**
-     * Creates an engine that is not called yet.
-     *
-     * @param core What all requests share.
-     * @param target The engine.
-     */
     private FollowedEngine(GatewayCore core, KnownTarget target) {
         this.core = core;
         this.target = target;
@@ -57,95 +46,81 @@
     }
 
     /**
-     * Begins to follow an engine.
+     * Starts polling an engine.
      *
-     * @param core What all requests share.
+     * @param core The state that all requests share.
      * @param target The engine.
-     * @return The engine.
+     * @return The poll, which runs until {@link #close}.
      */
     static FollowedEngine open(GatewayCore core, KnownTarget target) {
         FollowedEngine engine = new FollowedEngine(core, target);
-        engine.call();
+        engine.poll();
         return engine;
     }
 
     /**
-     * Tells whether a target is the engine that is followed, in the same life.
+     * Tells whether a target is the incarnation of the engine that is polled.
      *
      * @param other The target.
-     * @return {@code true} if it is.
+     * @return {@code true} if both are the same process.
      */
     boolean follows(KnownTarget other) {
         return target.load().target().life().equals(other.load().target().life());
     }
 
-    /** Ends following the engine. */
+    /** Stops polling and closes the connection. */
     void close() {
         closed = true;
         caller.close();
     }
 
-    /** Asks for changes, unless the engine wants nothing yet. */
-    private void call() {
+    /** Requests changes, or postpones the call while the engine asks for a pause. */
+    private void poll() {
         if (closed) {
             return;
         }
-        long rest = target.load().availability().restMillis(core.now());
-        if (rest > 0) {
-            callLater(rest);
+        long pauseMillis = target.load().availability().restMillis(core.now());
+        if (pauseMillis > 0) {
+            schedulePoll(pauseMillis);
             return;
         }
         String host = target.load().target().address().getHostString();
         caller.call(
-                        core.dialect().keptChangesRequest(host, since, WAIT_MILLIS),
-                        WAIT_MILLIS + CALL_MILLIS)
+                        core.dialect().keptChangesRequest(host, since, POLL_WAIT_MILLIS),
+                        POLL_WAIT_MILLIS + EXTRA_TIMEOUT_MILLIS)
                 .subscribe(
                         (reply, failure) -> {
                             boolean good = failure == null && reply.status() == OK;
                             if (good) {
-                                take(reply);
+                                applyChanges(reply);
                             }
-                            callLater(good ? PAUSE_MILLIS : FAILURE_MILLIS);
+                            schedulePoll(good ? INTERVAL_MILLIS : FAILURE_BACKOFF_MILLIS);
                         });
     }
 
-    /**
-     * Asks for changes after a while.
-     *
-     * @param millis The time until then, in milliseconds.
-     */
-    private void callLater(long millis) {
+    private void schedulePoll(long delayMillis) {
         if (!closed) {
-            core.reactor().delayBackground(millis, this::call);
+            core.reactor().delayBackground(delayMillis, this::poll);
         }
     }
 
-    /**
-     * Takes in changes.
-     *
-     * @param reply The engine's answer.
-     */
-    private void take(HttpReply reply) {
+    private void applyChanges(HttpReply reply) {
         KeptChanges changes = core.dialect().keptChanges(reply.body());
         since = changes.next();
-        changes.parts().forEach(this::take);
-        core.log().keptChanges(changes.parts().size(), changes.lost());
+        changes.parts().forEach(this::applyChange);
+        core.log().cacheChangesReceived(changes.parts().size(), changes.lost());
     }
 
-    /**
-     * Takes in what is kept of a part. Parts of one request alone are of no use to others.
-     *
-     * @param kept The part.
-     */
-    private void take(KeptPart kept) {
-        long key = PromptChain.key(kept.model(), kept.part().id());
-        long tokens = kept.part().tokens();
+    /** Applies a change. Additions of parts that only one request has used are ignored. */
+    private void applyChange(KeptPart change) {
+        long key = PromptChain.key(change.model(), change.part().id());
+        long tokens = change.part().tokens();
         PromptMemory memory = target.load().memory();
-        boolean news = tokens > 0 != memory.keeps(key);
-        if (!news || (tokens > 0 && !core.sharedKeys().contains(key))) {
+        boolean differs = tokens > 0 != memory.keeps(key);
+        if (!differs || (tokens > 0 && !core.sharedKeys().contains(key))) {
             return;
         }
-        core.log().keptCorrected(tokens > 0);
+        core.log().cacheEntryCorrected(tokens > 0);
         core.placed(new PlacedPart(target.load().target().life(), key, tokens));
         if (tokens > 0) {
             memory.keep(key, tokens, core.keptCapacity(target.load()));
--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -15,54 +15,50 @@
 import org.martenwell.share.ShareUse;
 
 /**
- * Counts and logs what becomes of requests and what the gateway believes. Lines about requests are
- * bounded, and the next line that is written tells how many were left out.
+ * Log lines and metrics of a gateway. Lines about requests and targets are rate-limited; the line
+ * after suppressed ones states their number.
  */
 final class GatewayLog {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(GatewayLog.class);
 
-    /** The loop, for the time. */
     private final NioReactor reactor;
 
-    /** The counters. */
     private final MetricRegistry metrics = new MetricRegistry();
 
-    /** How long first pieces of answers took, in milliseconds. */
-    private final Histogram firstPieces =
+    /** The times from the arrival of requests to the first chunk of the response body. */
+    private final Histogram firstChunkMillis =
             metrics.register("first_piece_millis", new Histogram(new HighDynamicRangeReservoir()));
 
-    /** Bounds lines about requests. */
-    private final LogRateLimiter budget = new LogRateLimiter();
+    private final LogRateLimiter rateLimiter = new LogRateLimiter();
 
     /**
      * Creates a log.
      *
-     * @param reactor The loop, for the time.
+     * @param reactor The event loop, whose time the rate limit uses.
      */
     GatewayLog(NioReactor reactor) {
         this.reactor = reactor;
     }
 
     /**
-     * Returns the counters.
+     * Returns the metrics of the gateway.
      *
-     * @return The counters.
+     * @return The registry, to which other classes add their own metrics.
      */
     MetricRegistry metrics() {
         return metrics;
     }
 
     /**
-     * Notes a refusal or failure that the gateway answered, or that the caller left.
+     * Records a request that ended without a target's response.
      *
-     * @param request The id of the caller's attempt.
-     * @param kind The kind of the answer.
-     * @param route The route or an empty text.
-     * @param organisation The caller's organisation or an empty text.
-     * @param attempts To how many targets the request was sent.
-     * @param heldMillis How long it was held, in milliseconds.
+     * @param request The id that the caller gave to the attempt.
+     * @param kind The error.
+     * @param route The name of the route or an empty string.
+     * @param organisation The caller's organisation or an empty string.
+     * @param attempts The number of attempts.
+     * @param heldMillis The time since the request arrived, in milliseconds.
      */
     void failed(
             String request,
@@ -72,7 +68,7 @@
             int attempts,
             long heldMillis) {
         metrics.counter("requests_failed_" + kind.code()).inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("request-failed")
                             .with("request", request)
@@ -85,15 +81,15 @@
     }
 
     /**
-     * Notes that a request was sent to a target of a plain service.
+     * Records an attempt at a target of a plain service.
      *
-     * @param request The id of the caller's attempt.
+     * @param request The id that the caller gave to the attempt.
      * @param target The target's id.
-     * @param attempt Which attempt it is, from 1.
+     * @param attempt The number of the attempt, from 1.
      */
     void sent(String request, String target, int attempt) {
         metrics.counter("requests_sent").inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("request-sent")
                             .with("request", request)
@@ -103,18 +99,19 @@
     }
 
     /**
-     * Notes that a request was sent to an engine.
+     * Records an attempt at a model engine.
      *
-     * @param request The id of the caller's attempt.
-     * @param choice The engine and why it was chosen.
-     * @param attempt Which attempt it is, from 1.
-     * @param organisation The organisation.
-     * @param use How much of its fair shares the organisation has used.
+     * @param request The id that the caller gave to the attempt.
+     * @param choice The chosen engine.
+     * @param attempt The number of the attempt, from 1.
+     * @param organisation The caller's organisation or an empty string.
+     * @param use The use that the organisation has made of its fair shares.
      */
-    void sent(String request, EngineChoice choice, int attempt, String organisation, ShareUse use) {
+    void sentToEngine(
+            String request, EngineChoice choice, int attempt, String organisation, ShareUse use) {
         metrics.counter("requests_sent").inc();
         metrics.counter("requests_sent_" + use.tier().name().toLowerCase(Locale.ROOT)).inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("request-sent")
                             .with("request", request)
@@ -130,16 +127,16 @@
     }
 
     /**
-     * Notes that a request was answered by a target.
+     * Records a request that ended with a target's response.
      *
-     * @param request The id of the caller's attempt.
-     * @param status The status.
-     * @param attempts To how many targets the request was sent.
-     * @param heldMillis How long it was held, in milliseconds.
+     * @param request The id that the caller gave to the attempt.
+     * @param status The HTTP status code.
+     * @param attempts The number of attempts.
+     * @param heldMillis The time since the request arrived, in milliseconds.
      */
     void ended(String request, int status, int attempts, long heldMillis) {
         metrics.counter("requests_answered").inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("request-ended")
                             .with("request", request)
@@ -150,24 +147,24 @@
     }
 
     /**
-     * Notes how long the first piece of an answer took.
+     * Records the latency of the first chunk of a response body.
      *
      * @param millis The time since the request arrived, in milliseconds.
      */
-    void firstPiece(long millis) {
-        firstPieces.update(millis);
+    void firstChunk(long millis) {
+        firstChunkMillis.update(millis);
     }
 
     /**
-     * Notes that an attempt at a target failed.
+     * Records an attempt of which the target ran nothing, or whose target was silent.
      *
-     * @param request The id of the caller's attempt.
+     * @param request The id that the caller gave to the attempt.
      * @param target The target's id.
-     * @param cause What happened.
+     * @param cause The cause, a part of the metric's name.
      */
     void attemptFailed(String request, String target, String cause) {
         metrics.counter("attempts_failed_" + cause.toLowerCase(Locale.ROOT)).inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("attempt-failed")
                             .with("request", request)
@@ -177,96 +174,97 @@
     }
 
     /**
-     * Notes that an attempt at a target broke off after the request was sent.
+     * Records an attempt that failed after the request was sent.
      *
-     * @param request The id of the caller's attempt.
-     * @param life The target's life.
-     * @param cause What happened.
-     * @param fingerprint What the request has in common with others that are the same.
+     * @param request The id that the caller gave to the attempt.
+     * @param incarnation The target's incarnation.
+     * @param cause The cause, a part of the metric's name.
+     * @param fingerprint The request's fingerprint.
      */
-    void attemptBroken(String request, String life, String cause, Fingerprint fingerprint) {
+    void sentAttemptFailed(
+            String request, String incarnation, String cause, Fingerprint fingerprint) {
         metrics.counter("attempts_failed_" + cause.toLowerCase(Locale.ROOT)).inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("attempt-failed")
                             .with("request", request)
-                            .with("target", life)
+                            .with("target", incarnation)
                             .with("cause", cause)
                             .with("fingerprint", fingerprint));
         }
     }
 
     /**
-     * Notes that a target leaves.
+     * Records that a target is draining.
      *
-     * @param life The target's life.
-     * @param source From where that is known first.
+     * @param incarnation The target's incarnation.
+     * @param source The source that reported it first.
      */
-    void leaving(String life, NoticeSource source) {
+    void leaving(String incarnation, NoticeSource source) {
         String from = source.name().toLowerCase(Locale.ROOT);
         metrics.counter("targets_leaving_by_" + from).inc();
-        if (writes()) {
-            write(LogEvent.of("target-leaving").with("target", life).with("learntFrom", from));
+        if (mayWrite()) {
+            write(
+                    LogEvent.of("target-leaving")
+                            .with("target", incarnation)
+                            .with("learntFrom", from));
         }
     }
 
     /**
-     * Notes that a target asked this gateway for rest.
+     * Records that a target asked this gateway for a pause.
      *
-     * @param life The target's life.
-     * @param millis For how long, in milliseconds.
+     * @param incarnation The target's incarnation.
+     * @param millis The length of the pause, in milliseconds.
      */
-    void resting(String life, long millis) {
+    void resting(String incarnation, long millis) {
         metrics.counter("targets_resting").inc();
-        if (writes()) {
-            write(LogEvent.of("target-rests").with("target", life).with("millis", millis));
+        if (mayWrite()) {
+            write(LogEvent.of("target-rests").with("target", incarnation).with("millis", millis));
         }
     }
 
     /**
-     * Notes that a target ended while it had a request.
+     * Records that a target crashed while a request was in progress there.
      *
      * @param suspect The request.
-     * @param life The target's life.
-     * @param lives How many targets have ended under it, as far as is known.
+     * @param incarnation The target's incarnation.
+     * @param crashes The number of targets that are known to have crashed under the request.
      */
-    void suspected(SuspectRequest suspect, String life, int lives) {
+    void suspected(SuspectRequest suspect, String incarnation, int crashes) {
         metrics.counter("requests_suspected").inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(
                     LogEvent.of("request-suspected")
                             .with("fingerprint", suspect.fingerprint())
                             .with("path", suspect.summary().path())
                             .with("organisation", suspect.summary().organisation())
-                            .with("target", life)
-                            .with("targetsEnded", lives));
+                            .with("target", incarnation)
+                            .with("targetsEnded", crashes));
         }
     }
 
     /**
-     * Notes that a request is held back or no longer is.
+     * Records that a request was quarantined or released.
      *
-     * @param event What changed.
-     * @param fingerprint The request.
-     * @param learntFrom Where that was learnt.
+     * @param event The name of the event, also used for the metric.
+     * @param fingerprint The request's fingerprint.
+     * @param source The origin of the decision.
      */
-    void quarantined(String event, Fingerprint fingerprint, String learntFrom) {
+    void quarantineChanged(String event, Fingerprint fingerprint, String source) {
         metrics.counter(event.replace('-', '_')).inc();
-        if (writes()) {
-            write(
-                    LogEvent.of(event)
-                            .with("fingerprint", fingerprint)
-                            .with("learntFrom", learntFrom));
+        if (mayWrite()) {
+            write(LogEvent.of(event).with("fingerprint", fingerprint).with("learntFrom", source));
         }
     }
 
     /**
-     * Counts changes of what an engine keeps.
+     * Counts changes of prompt caches that engines reported.
      *
-     * @param count How many came at once.
-     * @param lost Whether earlier ones are no longer known to the engine.
+     * @param count The number of changes in one response.
+     * @param lost Whether the engine has discarded earlier changes that the gateway missed.
      */
-    void keptChanges(int count, boolean lost) {
+    void cacheChangesReceived(int count, boolean lost) {
         metrics.counter("kept_changes").inc(count);
         if (lost) {
             metrics.counter("kept_changes_lost").inc();
@@ -274,60 +272,51 @@
     }
 
     /**
-     * Counts a change that differs from what was believed.
+     * Counts a reported change that corrected the gateway's view of a prompt cache.
      *
-     * @param kept Whether the engine keeps the part, which was not known; else it dropped it.
+     * @param cached Whether the part is cached; otherwise it was evicted.
      */
-    void keptCorrected(boolean kept) {
-        metrics.counter(kept ? "kept_parts_learnt" : "kept_parts_dropped").inc();
+    void cacheEntryCorrected(boolean cached) {
+        metrics.counter(cached ? "kept_parts_learnt" : "kept_parts_dropped").inc();
     }
 
     /**
-     * Notes that an entry of the directory can't be read, so that it is left out.
+     * Records that an entry of the directory can't be read and is ignored.
      *
      * @param name The entry's name.
-     * @param reason What is wrong with it.
+     * @param reason The problem with the entry.
      */
     void unreadable(String name, String reason) {
         metrics.counter("entries_unreadable").inc();
-        if (writes()) {
+        if (mayWrite()) {
             write(LogEvent.of("entry-unreadable").with("name", name).with("reason", reason));
         }
     }
 
     /**
-     * Notes that the gateway's view of the world changed.
+     * Logs a change of the gateway's state. These lines are not rate-limited.
      *
-     * @param event What changed.
+     * @param event The name of the event.
      * @param detail The new value.
      */
     void changed(String event, Object detail) {
         LOGGER.info(LogEvent.of(event).with("detail", detail).message());
     }
 
-    /**
-     * Takes a line about a request from the budget.
-     *
-     * @return {@code true} if it may be written.
-     */
-    private boolean writes() {
+    /** Tells whether a rate-limited line may be written, and counts it if not. */
+    private boolean mayWrite() {
         if (!LOGGER.isInfoEnabled()) {
             return false;
         }
-        boolean allowed = budget.take(reactor.currentTimeMillis());
+        boolean allowed = rateLimiter.tryAcquire(reactor.currentTimeMillis());
         if (!allowed) {
             metrics.counter("log_lines_dropped").inc();
         }
         return allowed;
     }
 
-    /**
-     * Writes a line.
-     *
-     * @param event The line.
-     */
     private void write(LogEvent event) {
-        long dropped = budget.takeDropped();
-        LOGGER.info((dropped > 0 ? event.with("linesDropped", dropped) : event).message());
+        long suppressed = rateLimiter.takeSuppressed();
+        LOGGER.info((suppressed > 0 ? event.with("linesDropped", suppressed) : event).message());
     }
 }
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -19,67 +19,61 @@
 import org.martenwell.quarantine.RequestSummary;
 
 /**
- * Holds back requests under which targets end. Gateways tell each other which targets ended and
- * what these had; what is decided is kept in the directory, so that it outlasts all gateways.
+ * Quarantine of requests that crash targets. Gateways report to each other which targets crashed
+ * and with which requests. Quarantined requests are stored in the directory, so that they persist
+ * when all gateways restart.
  */
 final class HarmfulRequests {
 
-    /** Of how many suspected requests it is remembered what operators are told of them. */
+    /** The number of suspected requests whose summaries are retained. */
     private static final int MAX_SUMMARIES = 1_024;
 
     /**
-     * How often all gateways together tell again what is held back, in milliseconds. One that
-     * missed it, cut off or over a connection that went silent, hears it within a second or two.
+     * The average interval at which some gateway of the fleet repeats all quarantined requests to
+     * its peers, in milliseconds. It bounds the time until a gateway that missed an update gets it.
      */
-    private static final long TOLD_AGAIN_MILLIS = 1_000;
+    private static final long FLEET_REPEAT_MILLIS = 1_000;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** This gateway's name. */
     private final String gateway;
 
-    /** Counts and logs. */
     private final GatewayLog log;
 
-    /** The time of day, which directory entries tell. */
     private final Clock clock;
 
-    /** Spreads what is told again. */
     private final Random random;
 
-    /** When this gateway tells again what is held back, in milliseconds. */
-    private long toldAgainMillis;
+    /** The time at which this gateway next repeats all quarantined requests, in milliseconds. */
+    private long nextRepeatMillis;
 
-    /** Decides. */
     private final Quarantine quarantine = new Quarantine();
 
-    /** Finds out which targets ended. */
-    private final TargetCrashDetector ends;
+    private final TargetCrashDetector crashDetector;
 
-    /** The requests that are being served. */
+    /** The requests in progress. */
     private final Set<RequestDispatch> active = new HashSet<>();
 
-    /** What operators are told of requests that this gateway sent, the longest known first. */
+    /** The summaries of suspected requests that this gateway sent, in insertion order. */
     private final Map<Fingerprint, RequestSummary> summaries = new LinkedHashMap<>();
 
-    /** The requests that the directory held back when it was last read. */
+    /** The quarantined requests that the directory last listed. */
     private Set<Fingerprint> stored = Set.of();
 
-    /** Called when peers should be told at once. */
+    /** The callback that sends updates to peers without delay. */
     private Runnable newsListener = () -> {};
 
-    /** Where what is decided is kept; empty until it is known. */
+    /** The directory that stores quarantined requests, empty until it is set. */
     private Optional<FleetDirectory> directory = Optional.empty();
 
     /**
-     * Creates a gateway's view, which holds nothing back yet.
+     * Creates an empty quarantine.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param gateway This gateway's name.
-     * @param log Counts and logs.
-     * @param clock The time of day.
-     * @param random Spreads what is told again.
+     * @param log The log and metrics.
+     * @param clock The wall clock, for the times of directory entries.
+     * @param random The source of jitter for the repeated updates.
      */
     HarmfulRequests(
             NioReactor reactor, String gateway, GatewayLog log, Clock clock, Random random) {
@@ -88,31 +82,31 @@
         this.log = log;
         this.clock = clock;
         this.random = random;
-        this.ends = new TargetCrashDetector(reactor, this::ended);
+        this.crashDetector = new TargetCrashDetector(reactor, this::crashed);
         log.metrics().registerGauge("requests_held_back", quarantine::held);
         log.metrics().registerGauge("targets_ended_under_requests", quarantine::livesKnown);
     }
 
     /**
-     * Sets where what is decided is kept.
+     * Sets the directory that stores quarantined requests.
      *
-     * @param learnt The directory.
+     * @param changed The directory.
      */
-    void directory(FleetDirectory learnt) {
-        directory = Optional.of(learnt);
+    void directory(FleetDirectory changed) {
+        directory = Optional.of(changed);
     }
 
     /**
-     * Sets what to do when peers should be told at once.
+     * Sets the callback that sends updates to peers without delay.
      *
-     * @param listener Called for each target that ended.
+     * @param listener The callback, which runs for each new crash of a target.
      */
     void onNews(Runnable listener) {
         newsListener = listener;
     }
 
     /**
-     * Notes that a request is being served.
+     * Registers a request in progress.
      *
      * @param request The request.
      */
@@ -121,7 +115,7 @@
     }
 
     /**
-     * Notes that a request is no longer served.
+     * Removes a request that is no longer in progress.
      *
      * @param request The request.
      */
@@ -132,8 +126,8 @@
     /**
      * Tells whether a request must not be sent.
      *
-     * @param identity What makes it the same one.
-     * @return The kind of its answer or empty if it may be sent.
+     * @param identity The request's identity.
+     * @return The error to respond with, or empty if the request may be sent.
      */
     Optional<ErrorKind> refusal(RequestIdentity identity) {
         return quarantine.idle() || !quarantine.knows(identity.scope())
@@ -142,47 +136,48 @@
     }
 
     /**
-     * Notes that an attempt broke off. The end of a target that leaves, or whose entry went before,
-     * was planned and speaks against nobody.
+     * Records that an attempt failed after the request was sent. The shutdown of a target that is
+     * draining or was removed from the directory is planned and not attributed to the request.
      *
      * @param target The target.
-     * @param identity What makes the request the same one.
-     * @param verdict Called once it is known whether the target ended, or has taken too long.
+     * @param identity The request's identity.
+     * @param verdict The callback that runs once it is known whether the target crashed, or after a
+     *     timeout.
      */
-    void broken(KnownTarget target, RequestIdentity identity, Runnable verdict) {
+    void attemptFailed(KnownTarget target, RequestIdentity identity, Runnable verdict) {
         if (target.load().availability().leaves() || target.connections().closed()) {
             verdict.run();
         } else {
-            ends.broken(target, identity.suspect(), verdict);
+            crashDetector.attemptFailed(target, identity.suspect(), verdict);
         }
     }
 
     /**
-     * Notes that an attempt was given up before its answer was whole. Only where the path and the
-     * caller are suspected already is the request hashed for it: under load many callers leave.
+     * Records that the gateway cancelled an attempt. Many callers disconnect under load, so the
+     * body is hashed only if requests of the same scope are suspected already.
      *
      * @param target The target.
-     * @param identity What makes the request the same one.
+     * @param identity The request's identity.
      */
-    void givenUp(KnownTarget target, RequestIdentity identity) {
+    void attemptCancelled(KnownTarget target, RequestIdentity identity) {
         if (quarantine.size() > 0 && quarantine.knows(identity.scope())) {
-            ends.givenUp(target, identity.suspect());
+            crashDetector.attemptCancelled(target, identity.suspect());
         }
     }
 
     /**
-     * Notes that a target has ended, as a refused connection or the directory tells.
+     * Records that a target crashed, as seen by a refused connection or by the directory.
      *
      * @param target The target.
      */
     void targetEnded(KnownTarget target) {
-        ends.ended(target);
+        crashDetector.targetCrashed(target);
     }
 
     /**
-     * Notes that a target answered a request whole, so that it does not end its targets.
+     * Records that a target served a request in full, which clears the request of suspicion.
      *
-     * @param identity What makes the request the same one.
+     * @param identity The request's identity.
      */
     void served(RequestIdentity identity) {
         if (quarantine.size() == 0 || !quarantine.knows(identity.scope())) {
@@ -190,100 +185,96 @@
         }
         Fingerprint fingerprint = identity.fingerprint();
         if (quarantine.clear(fingerprint, reactor.currentTimeMillis())) {
-            log.quarantined("request-released", fingerprint, "served");
+            log.quarantineChanged("request-released", fingerprint, "served");
             directory.ifPresent(each -> each.release(fingerprint));
         }
     }
 
     /**
-     * Takes in what a peer tells.
+     * Applies updates from a peer.
      *
-     * @param words What it tells.
+     * @param updates The updates.
      */
-    void heard(List<QuarantineWord> words) {
-        for (QuarantineWord each : words) {
+    void heard(List<QuarantineWord> updates) {
+        for (QuarantineWord each : updates) {
             if (quarantine.heard(each, reactor.currentTimeMillis())) {
-                held(each.fingerprint(), "peer");
+                quarantined(each.fingerprint(), "peer");
             }
         }
     }
 
     /**
-     * Takes in what the directory holds back. What it no longer does was cleared by an operator.
+     * Applies the directory's list of quarantined requests. An entry that disappeared was released
+     * by an operator.
      *
-     * @param entries All requests that it holds back.
+     * @param entries All quarantined requests in the directory.
      */
     void stored(Map<Fingerprint, HeldRequest> entries) {
         long now = reactor.currentTimeMillis();
         for (Fingerprint each : stored) {
             if (!entries.containsKey(each)) {
                 quarantine.clear(each, now);
-                log.quarantined("request-released", each, "directory");
+                log.quarantineChanged("request-released", each, "directory");
             }
         }
         stored = Set.copyOf(entries.keySet());
         for (Fingerprint each : stored) {
             if (quarantine.hold(each, now)) {
-                held(each, "directory");
+                quarantined(each, "directory");
             }
         }
     }
 
     /**
-     * Takes what peers are to be told now, and decides what was undecided until now.
+     * Returns the updates that are due for peers, after deciding on the suspected requests.
      *
-     * @param members How many gateways the fleet has.
-     * @return The words.
+     * @param members The number of gateways in the fleet.
+     * @return The updates since the last call, from time to time with all quarantined requests.
      */
     List<QuarantineWord> takeNews(int members) {
         long now = reactor.currentTimeMillis();
-        quarantine.decide(now).forEach(each -> held(each, "own"));
-        List<QuarantineWord> words = new ArrayList<>(quarantine.takeNews(now));
-        if (now >= toldAgainMillis) {
-            toldAgainMillis =
-                    now + Math.round(TOLD_AGAIN_MILLIS * members * 2 * random.nextDouble());
-            words.addAll(quarantine.heldWords());
+        quarantine.decide(now).forEach(each -> quarantined(each, "own"));
+        List<QuarantineWord> updates = new ArrayList<>(quarantine.takeNews(now));
+        if (now >= nextRepeatMillis) {
+            nextRepeatMillis =
+                    now + Math.round(FLEET_REPEAT_MILLIS * members * 2 * random.nextDouble());
+            updates.addAll(quarantine.heldWords());
         }
-        return words;
+        return updates;
     }
 
     /**
-     * Returns all that a peer which knows nothing is to be told.
+     * Returns the complete state of the quarantine for a peer that has none.
      *
-     * @return The words.
+     * @return The updates.
      */
     List<QuarantineWord> all() {
         return quarantine.all();
     }
 
-    /**
-     * Takes in that a target ended while it had a request of this gateway.
-     *
-     * @param suspect The request.
-     * @param life The target's life.
-     */
-    private void ended(SuspectRequest suspect, String life) {
+    private void crashed(SuspectRequest suspect, String incarnation) {
         Fingerprint fingerprint = suspect.fingerprint();
         summaries.put(fingerprint, suspect.summary());
         if (summaries.size() > MAX_SUMMARIES) {
             summaries.remove(summaries.keySet().iterator().next());
         }
-        if (quarantine.ended(fingerprint, life, reactor.currentTimeMillis())) {
+        if (quarantine.ended(fingerprint, incarnation, reactor.currentTimeMillis())) {
             newsListener.run();
         }
-        log.suspected(suspect, life, quarantine.lives(fingerprint).size());
+        log.suspected(suspect, incarnation, quarantine.lives(fingerprint).size());
     }
 
     /**
-     * Stops what is being sent of a request that is held back from now on, and makes that last.
+     * Cancels requests in progress that are quarantined from now on, and stores the entry in the
+     * directory.
      *
-     * @param fingerprint The request.
-     * @param learntFrom Where that was learnt.
+     * @param fingerprint The request's fingerprint.
+     * @param source The origin of the decision, for the log.
      */
-    private void held(Fingerprint fingerprint, String learntFrom) {
-        log.quarantined("request-held", fingerprint, learntFrom);
+    private void quarantined(Fingerprint fingerprint, String source) {
+        log.quarantineChanged("request-held", fingerprint, source);
         for (RequestDispatch each : List.copyOf(active)) {
-            each.stopIfHeld(fingerprint);
+            each.stopIfQuarantined(fingerprint);
         }
         RequestSummary summary = summaries.get(fingerprint);
         if (summary != null && !stored.contains(fingerprint)) {
--- a/src/main/java/org/martenwell/gateway/LocalResponder.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -7,27 +7,24 @@
 import org.martenwell.error.Repeat;
 import org.martenwell.exchange.CallerExchange;
 
-/** Gives a caller the answers that the gateway makes itself. */
+/** Sends responses that the gateway generates itself, without a target. */
 final class LocalResponder {
 
-    /** Over how long the times at which callers may come back are spread at most, in seconds. */
-    private static final double MAX_SPREAD_SECONDS = 2;
+    /** The upper limit of the random delay that is added to {@code Retry-After}, in seconds. */
+    private static final double MAX_JITTER_SECONDS = 2;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** The request and its answer. */
     private final CallerExchange exchange;
 
-    /** What the caller states. */
     private final RequestFacts facts;
 
     /**
-     * Creates what answers a request.
+     * Creates the responder for a request.
      *
-     * @param core What all requests share.
-     * @param exchange The request and its answer.
-     * @param facts What the caller states.
+     * @param core The state that all requests share.
+     * @param exchange The request and its response.
+     * @param facts The metadata of the request.
      */
     LocalResponder(GatewayCore core, CallerExchange exchange, RequestFacts facts) {
         this.core = core;
@@ -36,18 +33,19 @@
     }
 
     /**
-     * Answers the request.
+     * Responds to the request with an empty body.
      *
-     * @param kind The kind of the answer.
-     * @param retrySeconds When the caller may come back, in seconds, or 0.
+     * @param kind The error, which determines the status.
+     * @param retrySeconds The delay after which the caller may retry, in seconds, or 0 to state
+     *     none. The header holds this delay with random jitter added.
      */
-    void give(ErrorKind kind, double retrySeconds) {
+    void respond(ErrorKind kind, double retrySeconds) {
         HttpHeaders headers = core.dialect().ownAnswer(facts);
         if (retrySeconds > 0 && kind.repeat() != Repeat.NEVER) {
-            double spread = Math.min(retrySeconds, MAX_SPREAD_SECONDS) * core.random();
+            double jitter = Math.min(retrySeconds, MAX_JITTER_SECONDS) * core.random();
             headers.set(
                     HttpHeaderNames.RETRY_AFTER,
-                    String.format(Locale.ROOT, "%.2f", retrySeconds + spread));
+                    String.format(Locale.ROOT, "%.2f", retrySeconds + jitter));
         }
         exchange.respond(kind.status(), headers, new byte[0]);
     }
--- a/src/main/java/org/martenwell/gateway/LogRateLimiter.java
+++ b/src/main/java/org/martenwell/gateway/LogRateLimiter.java
@@ -1,57 +1,54 @@
 package org.martenwell.gateway;
 
-/** Bounds the lines about requests and counts those that are left out. */
+/** Token bucket that limits log lines about requests and counts the lines that it suppresses. */
 final class LogRateLimiter {
 
-    /** How many lines a second are written. */
     private static final double LINES_PER_SECOND = 120;
 
-    /** How many lines may come at once. */
     private static final double BURST_LINES = 600;
 
-    /** How many milliseconds a second has. */
-    private static final double SECOND_MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** How many lines may be written now. */
-    private double lines = BURST_LINES;
+    /** The lines that may be written now. */
+    private double availableLines = BURST_LINES;
 
-    /** When lines were last earned, in milliseconds. */
-    private long earnedMillis = Long.MIN_VALUE;
+    /** The time of the last refill, in milliseconds. */
+    private long refilledMillis = Long.MIN_VALUE;
 
-    /** How many lines were left out since the last one that was written. */
-    private long dropped;
+    /** The lines suppressed since the last call of {@link #takeSuppressed}. */
+    private long suppressed;
 
-    /** Creates a full budget. */
+    /** Creates a limiter with a full burst. */
     LogRateLimiter() {}
 
     /**
-     * Takes a line from the budget, or counts it as left out.
+     * Acquires permission to write a line. A line that is denied counts as suppressed.
      *
      * @param now The present time, in milliseconds.
      * @return {@code true} if the line may be written.
      */
-    boolean take(long now) {
-        if (earnedMillis != Long.MIN_VALUE) {
-            double earned = (now - earnedMillis) * LINES_PER_SECOND / SECOND_MILLIS;
-            lines = Math.min(BURST_LINES, lines + earned);
+    boolean tryAcquire(long now) {
+        if (refilledMillis != Long.MIN_VALUE) {
+            double refill = (now - refilledMillis) * LINES_PER_SECOND / MILLIS_PER_SECOND;
+            availableLines = Math.min(BURST_LINES, availableLines + refill);
         }
-        earnedMillis = now;
-        if (lines < 1) {
-            dropped++;
+        refilledMillis = now;
+        if (availableLines < 1) {
+            suppressed++;
             return false;
         }
-        lines--;
+        availableLines--;
         return true;
     }
 
     /**
-     * Takes the count of lines left out.
+     * Returns and resets the count of suppressed lines.
      *
-     * @return How many were left out since the last call.
+     * @return The number of lines suppressed since the last call.
      */
-    long takeDropped() {
-        long taken = dropped;
-        dropped = 0;
+    long takeSuppressed() {
+        long taken = suppressed;
+        suppressed = 0;
         return taken;
     }
 }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -25,103 +25,90 @@
 import org.martenwell.share.ShareUse;
 
 /**
- * The life of one request: it finds its route, waits for room, is sent, perhaps again, and is
- * answered. Only a request of which no target may have run anything is answered as not run.
+ * Dispatch of one request: it selects the route, waits for capacity, sends the request, retries it
+ * and responds to the caller. A status that promises that the request was not run is used only if
+ * no target may have run it.
  */
 final class RequestDispatch {
 
-    /** How long a target that says it is full gets no requests, in milliseconds. */
-    private static final long FULL_MILLIS = 150;
+    /** The time for which a target that reports to be full is suspended, in milliseconds. */
+    private static final long FULL_SUSPENSION_MILLIS = 150;
 
-    /** How long a target that turned out to be another one gets no requests, in milliseconds. */
-    private static final long OTHER_MILLIS = 5_000;
+    /** The time for which a target that is not the intended one is suspended, in milliseconds. */
+    private static final long MISDIRECTED_SUSPENSION_MILLIS = 5_000;
 
-    /** The cause of an attempt that ended because its target was silent. */
-    private static final String SILENT = "silent";
+    private static final String SILENT_CAUSE = "silent";
 
-    /** When a caller may come back after it found no room, in seconds. */
-    private static final double RETRY_SOON_SECONDS = 0.4;
+    /** The delay before a retry if there is no target or no capacity, in seconds. */
+    private static final double RETRY_CAPACITY_SECONDS = 0.4;
 
-    /** When a caller may come back to another gateway, in seconds. */
+    /** The delay before a retry that should reach another gateway, in seconds. */
     private static final double RETRY_ELSEWHERE_SECONDS = 0.05;
 
-    /** When a caller beyond its fair share may come back, in seconds. */
+    /** The delay before a retry if the organisation exceeds its fair share, in seconds. */
     private static final double RETRY_SHARE_SECONDS = 2;
 
-    /** When a caller may come back whose request may have ended targets, in seconds. */
-    private static final double RETRY_UNDECIDED_SECONDS = 1;
+    /** The delay before a retry of a request that is suspected to crash targets, in seconds. */
+    private static final double RETRY_SUSPECTED_SECONDS = 1;
 
-    /** How many milliseconds a second has. */
-    private static final double SECOND_MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The first status that says that the target failed. */
-    private static final int FIRST_FAILURE_STATUS = 500;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
-    /** The first status that is no success. */
-    private static final int FIRST_NO_SUCCESS = 300;
+    private static final int FIRST_REDIRECTION_STATUS = 300;
 
-    /** The statuses that promise that a request did not run. */
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    /** The statuses that promise that a request was not run. */
+    private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
-    /** The status of a target that is another one than was meant. */
-    private static final int MISDIRECTED = 421;
+    /** The status of a target that is not the intended one. */
+    private static final int MISDIRECTED_STATUS = 421;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** The request and its answer. */
     private final CallerExchange exchange;
 
-    /** What the caller states. */
     private final RequestFacts facts;
 
-    /** When the request arrived, in milliseconds. */
     private final long arrivedMillis;
 
-    /** The route or {@code null} until it is found. */
+    /** The route or {@code null} until it is selected. */
     private Route route;
 
-    /** What makes the request the same one when it comes again, once the route is known. */
+    /** The identity of the request, or {@code null} until the route is selected. */
     private RequestIdentity identity;
 
-    /** The service that serves the request. */
     private String service = "";
 
-    /** The caller's organisation. */
+    /** The caller's organisation, empty where callers have no keys. */
     private Optional<String> organisation = Optional.empty();
 
-    /** Decides between model engines; empty for a plain service. */
+    /** The routing to model engines, empty for a plain service. */
     private Optional<EngineRouting> engines = Optional.empty();
 
-    /** Notices targets that send nothing, once the route is known. */
+    /** The watch on silent targets, or {@code null} until the route is selected. */
     private SilenceWatch silence;
 
-    /** When the request is given up, in milliseconds. */
+    /** The time at which the request times out, in milliseconds. */
     private long deadlineMillis;
 
-    /** Ends the request at its deadline. */
-    private ScheduledRunnable timer;
+    private ScheduledRunnable deadlineTimer;
 
-    /** To which targets the request was sent. */
     private final SendHistory history = new SendHistory();
 
-    /** The present attempt or {@code null}. */
+    /** The attempt in progress or {@code null}. */
     private SendAttempt attempt;
 
-    /** Hands answers on to the caller. */
     private final ResponseRelay relay;
 
-    /** Gives the caller the gateway's own answers. */
-    private final LocalResponder ownAnswers;
+    private final LocalResponder localResponder;
 
-    /** Whether the request is over. */
     private boolean over;
 
     /**
-     * Creates a request's life.
+     * Creates the dispatch of a request.
      *
-     * @param core What all requests share.
-     * @param exchange The request and its answer.
+     * @param core The state that all requests share.
+     * @param exchange The request and its response.
      */
     RequestDispatch(GatewayCore core, CallerExchange exchange) {
         this.core = core;
@@ -129,28 +116,28 @@
         this.facts = core.dialect().read(exchange.request().headers());
         this.arrivedMillis = exchange.request().arrivedMillis();
         this.relay = new ResponseRelay(core, exchange);
-        this.ownAnswers = new LocalResponder(core, exchange, facts);
+        this.localResponder = new LocalResponder(core, exchange, facts);
     }
 
-    /** Begins to serve the request. */
+    /** Starts the dispatch, or refuses the request at once. */
     void start() {
         core.begin();
         Optional<GatewayConfiguration> configuration = core.configuration();
         if (core.closing()) {
-            answer(ErrorKind.DRAINING, RETRY_ELSEWHERE_SECONDS);
+            respond(ErrorKind.DRAINING, RETRY_ELSEWHERE_SECONDS);
             return;
         }
         if (core.heap().nearlyFull() || core.pressure().refuses()) {
-            answer(ErrorKind.ROUTER_FULL, RETRY_ELSEWHERE_SECONDS);
+            respond(ErrorKind.ROUTER_FULL, RETRY_ELSEWHERE_SECONDS);
             return;
         }
         if (configuration.isEmpty()) {
-            answer(ErrorKind.NOT_READY, RETRY_SOON_SECONDS);
+            respond(ErrorKind.NOT_READY, RETRY_CAPACITY_SECONDS);
             return;
         }
         Optional<Route> found = core.routes().find(facts.host(), exchange.request().path());
         if (found.isEmpty()) {
-            answer(ErrorKind.UNKNOWN_PATH, 0);
+            respond(ErrorKind.UNKNOWN_PATH, 0);
             return;
         }
         route = found.get();
@@ -158,39 +145,35 @@
             organisation =
                     facts.key().map(configuration.get().keys()::get).map(OrganisationTerms::name);
             if (organisation.isEmpty()) {
-                answer(ErrorKind.UNAUTHENTICATED, 0);
+                respond(ErrorKind.UNAUTHENTICATED, 0);
                 return;
             }
         }
         accept(configuration.get());
     }
 
-    /**
-     * Takes the request in.
-     *
-     * @param configuration The configuration.
-     */
+    /** Accepts a request whose route and organisation are known, and tries to send it. */
     private void accept(GatewayConfiguration configuration) {
-        long held = Math.min(route.timeoutMillis(), facts.waitMillis().orElse(Long.MAX_VALUE));
-        deadlineMillis = arrivedMillis + held;
-        exchange.onLeave(this::left);
-        timer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
-        silence = new SilenceWatch(core, route, this::silent);
+        long timeout = Math.min(route.timeoutMillis(), facts.waitMillis().orElse(Long.MAX_VALUE));
+        deadlineMillis = arrivedMillis + timeout;
+        exchange.onLeave(this::callerDisconnected);
+        deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
+        silence = new SilenceWatch(core, route, this::targetSilent);
         identity =
                 new RequestIdentity(
                         core.fingerprints(), exchange.request(), route, organisation.orElse(""));
         service = route.service(core.random());
         core.harmful().begin(this);
         engines = engineRouting(configuration);
-        engines.ifPresent(EngineRouting::asked);
+        engines.ifPresent(EngineRouting::recordDemand);
         trySend();
     }
 
     /**
-     * Finds out whether the request goes to model engines and what it needs of them.
+     * Creates the routing to model engines.
      *
      * @param configuration The configuration.
-     * @return How it is routed or empty for a plain service.
+     * @return The routing, or empty if the service is plain or the caller stated no prompt.
      */
     private Optional<EngineRouting> engineRouting(GatewayConfiguration configuration) {
         Optional<EngineTerms> terms = configuration.service(service).flatMap(ServiceTerms::engine);
@@ -210,126 +193,117 @@
     }
 
     /**
-     * Returns how much of its fair shares the organisation has used.
+     * Returns the use that the caller's organisation has made of its fair shares.
      *
-     * @return What it has used.
+     * @return The use, {@link ShareUse#NONE} for a plain service.
      */
     ShareUse shareUse() {
-        return engines.map(EngineRouting::use).orElse(ShareUse.NONE);
+        return engines.map(EngineRouting::shareUse).orElse(ShareUse.NONE);
     }
 
-    /** Tries to send a request that waits for room. */
+    /** Retries to send a request that waits in the queue. */
     void tryAgain() {
         trySend();
     }
 
     /**
-     * Tells whether an answer belongs to the request.
+     * Tells whether a response belongs to the request.
      *
-     * @param answer The answer's head.
-     * @return {@code true} if it does.
+     * @param response The response's head.
+     * @return {@code true} if the response belongs to the request.
      */
-    boolean belongs(HttpResponse answer) {
-        return core.dialect().belongs(answer, facts);
+    boolean belongs(HttpResponse response) {
+        return core.dialect().belongs(response, facts);
     }
 
-    /** Sends the request if there is room, else lets it wait or refuses it. */
+    /** Sends the request if a target has capacity, else queues or refuses it. */
     private void trySend() {
         Optional<ErrorKind> refusal = core.harmful().refusal(identity);
         if (refusal.isPresent()) {
-            giveUp(refusal.get(), RETRY_UNDECIDED_SECONDS);
+            fail(refusal.get(), RETRY_SUSPECTED_SECONDS);
             return;
         }
         long now = core.now();
-        List<TargetLoad> open = core.targets().open(service, history.tried(), now);
-        if (open.isEmpty() && !history.tried().isEmpty() && route.repeatable()) {
+        List<TargetLoad> open = core.targets().open(service, history.triedTargets(), now);
+        if (open.isEmpty() && !history.triedTargets().isEmpty() && route.repeatable()) {
             open = core.targets().open(service, Set.of(), now);
         }
         if (open.isEmpty()) {
-            giveUp(ErrorKind.NO_TARGET, noTargetSeconds(now));
+            fail(ErrorKind.NO_TARGET, noTargetRetrySeconds(now));
         } else if (engines.isEmpty()) {
-            core.services().choose(open, now).ifPresent(this::sendPlain);
+            core.services().choose(open, now).ifPresent(this::sendToPlainService);
         } else {
             sendToEngine(engines.get(), open);
         }
     }
 
     /**
-     * Returns when a caller may come back who found no target open.
+     * Returns the delay before a retry if no target is available.
      *
      * @param now The present time, in milliseconds.
-     * @return The time until the first rest of a target ends, in seconds, if any rests.
+     * @return The time until the first paused target resumes, in seconds, or the default delay if
+     *     that is longer or no target is paused.
      */
-    private double noTargetSeconds(long now) {
-        OptionalLong rest = core.targets().firstRestMillis(service, now);
-        return rest.isPresent()
-                ? Math.max(RETRY_SOON_SECONDS, rest.getAsLong() / SECOND_MILLIS)
-                : RETRY_SOON_SECONDS;
+    private double noTargetRetrySeconds(long now) {
+        OptionalLong pause = core.targets().firstRestMillis(service, now);
+        return pause.isPresent()
+                ? Math.max(RETRY_CAPACITY_SECONDS, pause.getAsLong() / MILLIS_PER_SECOND)
+                : RETRY_CAPACITY_SECONDS;
     }
 
     /**
-     * Sends the request to an engine, lets it wait, or gives it up.
+     * Sends the request to an engine, queues it, or refuses it.
      *
-     * @param routing Decides between engines.
-     * @param open The engines.
+     * @param routing The routing of the request.
+     * @param open The engines that accept requests.
      */
     private void sendToEngine(EngineRouting routing, List<TargetLoad> open) {
         EngineRouting.Decision decision = routing.decide(open, history.attempts(), route);
         core.queue().remove(this);
         if (decision.choice().isPresent()) {
-            sendChosen(routing, decision.choice().get(), decision.use());
+            sendToChosenEngine(routing, decision.choice().get(), decision.use());
         } else if (decision.refusal().isPresent()) {
             ErrorKind kind = decision.refusal().get();
             boolean share = kind == ErrorKind.RATE_EXCEEDED;
-            giveUp(kind, share ? RETRY_SHARE_SECONDS : RETRY_SOON_SECONDS);
+            fail(kind, share ? RETRY_SHARE_SECONDS : RETRY_CAPACITY_SECONDS);
         } else {
             core.queue().add(this);
         }
     }
 
-    /**
-     * Sends the request to an engine.
-     *
-     * @param routing What the request needs of it.
-     * @param choice The engine and why it was chosen.
-     * @param use How much of its fair shares the organisation has used.
-     */
-    private void sendChosen(EngineRouting routing, EngineChoice choice, ShareUse use) {
-        core.log().sent(requestId(), choice, history.attempts() + 1, routing.organisation(), use);
+    private void sendToChosenEngine(EngineRouting routing, EngineChoice choice, ShareUse use) {
+        core.log()
+                .sentToEngine(
+                        requestId(), choice, history.attempts() + 1, routing.organisation(), use);
         RunningRequest running = routing.running(choice);
-        routing.sent(choice);
+        routing.recordSent(choice);
         send(choice.load(), running, choice.copyFrom());
     }
 
-    /**
-     * Sends the request to a target of a plain service.
-     *
-     * @param load The target.
-     */
-    private void sendPlain(TargetLoad load) {
+    private void sendToPlainService(TargetLoad load) {
         core.log().sent(requestId(), load.target().id(), history.attempts() + 1);
         send(load, new RunningRequest(0, 0, core.now(), 0), Optional.empty());
     }
 
     /**
-     * Sends the request to a target.
+     * Starts an attempt at a target.
      *
      * @param load The target.
-     * @param running What the request puts on it.
-     * @param copyFrom The target that hands over parts of the prompt, if one does.
+     * @param running The load that the request puts on the target.
+     * @param copyFrom The target to copy cached prompt parts from, or empty.
      */
     private void send(TargetLoad load, RunningRequest running, Optional<TargetLoad> copyFrom) {
         String id = load.target().id();
         Optional<KnownTarget> target = core.targets().find(id);
         if (target.isEmpty()) {
-            giveUp(ErrorKind.NO_TARGET, RETRY_SOON_SECONDS);
+            fail(ErrorKind.NO_TARGET, RETRY_CAPACITY_SECONDS);
             return;
         }
-        if (history.begin(id)) {
+        if (history.recordAttempt(id)) {
             core.countFresh();
         }
         attempt = new SendAttempt(this, target.get(), running);
-        relay.expect(attempt);
+        relay.reset(attempt);
         silence.watch(attempt);
         attempt.send(
                 new TargetRequestHead(
@@ -339,141 +313,132 @@
                         exchange.request().body()));
     }
 
-    /**
-     * Gives a target that sends nothing a bad mark. A request that may run again goes elsewhere.
-     *
-     * @param silentAttempt The attempt.
-     */
-    private void silent(SendAttempt silentAttempt) {
+    /** Records a failure of a silent target, and retries the request elsewhere if it may. */
+    private void targetSilent(SendAttempt silentAttempt) {
         silentAttempt.target().load().health().failed(core.now());
         if (route.repeatable() && mayRetry()) {
-            core.log().attemptFailed(requestId(), targetId(silentAttempt), SILENT);
-            history.ran();
+            core.log().attemptFailed(requestId(), targetId(silentAttempt), SILENT_CAUSE);
+            history.markPossiblyRun();
             cancelAttempt();
             trySend();
         }
     }
 
-    /**
-     * Writes the headers for a target.
-     *
-     * @param id The target's id.
-     * @param copyFrom The target that hands over parts of the prompt, if one does.
-     * @return The headers.
-     */
     private HttpHeaders targetHeaders(String id, Optional<TargetLoad> copyFrom) {
         return core.dialect()
                 .forTarget(
                         exchange.request().headers(),
                         new SendFacts(
                                 id,
-                                facts.waitMillis().map(told -> Math.max(1, leftMillis())),
+                                facts.waitMillis().map(stated -> Math.max(1, leftMillis())),
                                 organisation,
                                 relay.lastEventId().or(facts::lastEventId),
                                 copyFrom.map(each -> each.target().address())));
     }
 
     /**
-     * Takes the head of an answer.
+     * Handles the head of a response.
      *
      * @param from The attempt.
-     * @param answer The head.
+     * @param response The head.
      */
-    void answerBegun(SendAttempt from, HttpResponse answer) {
-        if (core.dialect().notRun(answer)) {
-            from.release();
+    void responseBegun(SendAttempt from, HttpResponse response) {
+        if (core.dialect().notRun(response)) {
+            from.ignoreResponse();
             attempt = null;
-            refusedByTarget(from, answer.status().code());
-        } else if (!core.dialect().genuine(answer) && answer.status().code() < FIRST_NO_SUCCESS) {
+            refusedByTarget(from, response.status().code());
+        } else if (!core.dialect().genuine(response)
+                && response.status().code() < FIRST_REDIRECTION_STATUS) {
             from.cancel();
             attemptFailed(from, AnswerFailure.MALFORMED);
-        } else if (!relay.begin(answer, route)) {
+        } else if (!relay.begin(response, route)) {
             from.cancel();
             abort();
         }
     }
 
     /**
-     * Notes that the first piece of an answer arrived.
+     * Handles the arrival of the first chunk of a response body.
      *
      * @param from The attempt.
      */
-    void firstPiece(SendAttempt from) {
-        core.log().firstPiece(held());
+    void bodyBegun(SendAttempt from) {
+        core.log().firstChunk(heldMillis());
         if (relay.streaming()) {
-            engines.ifPresent(routing -> routing.begun(from.running()));
+            engines.ifPresent(routing -> routing.recordResponseStart(from.running()));
         }
     }
 
     /**
-     * Takes a piece of an answer.
+     * Handles a chunk of a response body.
      *
-     * @param piece The piece.
+     * @param chunk The bytes.
      */
-    void answerReceived(byte[] piece) {
-        relay.receive(piece, route.resumable());
+    void responseReceived(byte[] chunk) {
+        relay.receive(chunk, route.resumable());
     }
 
     /**
-     * Notes that a whole answer arrived.
+     * Handles the end of a complete response: forwards it, or retries after a server error.
      *
      * @param from The attempt.
      */
-    void answerEnded(SendAttempt from) {
+    void responseEnded(SendAttempt from) {
         attempt = null;
         int status = relay.status();
-        boolean failure = status >= FIRST_FAILURE_STATUS;
+        boolean failure = status >= FIRST_SERVER_ERROR_STATUS;
         if (failure) {
             from.target().load().health().failed(core.now());
         } else {
             from.target().load().health().succeeded(core.now());
         }
         if (failure && route.repeatable() && mayRetry()) {
-            history.ran();
+            history.markPossiblyRun();
             trySend();
-        } else if (PROMISES.contains(status)) {
-            history.ran();
-            giveUp(ErrorKind.TARGET_FAILED, 0);
+        } else if (NOT_RUN_STATUSES.contains(status)) {
+            // The dialect did not recognise this as a refusal, so the request may have run.
+            history.markPossiblyRun();
+            fail(ErrorKind.TARGET_FAILED, 0);
         } else {
             if (relay.framed() && !failure) {
                 core.harmful().served(identity);
             }
             relay.end();
-            core.log().ended(requestId(), status, history.attempts(), held());
+            core.log().ended(requestId(), status, history.attempts(), heldMillis());
             finish();
         }
     }
 
-    /**
-     * Notes that a target did not run the request.
-     *
-     * @param from The attempt.
-     * @param status The status of its answer.
-     */
+    /** Suspends a target that refused the request without running it, and retries elsewhere. */
     private void refusedByTarget(SendAttempt from, int status) {
-        boolean other = status == MISDIRECTED;
-        core.log().attemptFailed(requestId(), targetId(from), other ? "other" : "full");
-        engines.ifPresent(EngineRouting::notRead);
-        if (other) {
+        boolean misdirected = status == MISDIRECTED_STATUS;
+        core.log().attemptFailed(requestId(), targetId(from), misdirected ? "other" : "full");
+        engines.ifPresent(EngineRouting::rollBackSent);
+        if (misdirected) {
             core.harmful().targetEnded(from.target());
         }
-        from.target().load().health().close(core.now(), other ? OTHER_MILLIS : FULL_MILLIS);
+        from.target()
+                .load()
+                .health()
+                .close(
+                        core.now(),
+                        misdirected ? MISDIRECTED_SUSPENSION_MILLIS : FULL_SUSPENSION_MILLIS);
         if (mayRetry()) {
             trySend();
         } else {
-            giveUp(ErrorKind.TARGET_REFUSED, RETRY_SOON_SECONDS);
+            fail(ErrorKind.TARGET_REFUSED, RETRY_CAPACITY_SECONDS);
         }
     }
 
     /**
-     * Notes that an attempt failed.
+     * Handles the failure of an attempt, and retries the request if it may.
      *
      * @param from The attempt.
-     * @param failure What happened.
+     * @param failure The failure.
      */
     void attemptFailed(SendAttempt from, AnswerFailure failure) {
         attempt = null;
-        engines.ifPresent(EngineRouting::notRead);
+        engines.ifPresent(EngineRouting::rollBackSent);
         if (!failure.sent()) {
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
             from.target().load().health().notReached(core.now());
@@ -484,90 +449,85 @@
             return;
         }
         core.log()
-                .attemptBroken(
+                .sentAttemptFailed(
                         requestId(),
                         from.target().load().target().life(),
                         failure.name(),
                         identity.fingerprint());
         from.target().load().health().failed(core.now());
-        history.ran();
+        history.markPossiblyRun();
         boolean resumable = !exchange.begun() || route.resumable();
         if (route.repeatable() && resumable) {
-            core.harmful().broken(from.target(), identity, this::repeat);
+            core.harmful().attemptFailed(from.target(), identity, this::retryFailed);
         } else {
-            core.harmful().broken(from.target(), identity, () -> {});
-            giveUp(ErrorKind.TARGET_FAILED, 0);
+            core.harmful().attemptFailed(from.target(), identity, () -> {});
+            fail(ErrorKind.TARGET_FAILED, 0);
         }
     }
 
     /**
-     * Notes that a target wanted nothing more by the time at which the request could be sent.
+     * Handles a target that became unavailable while the connection opened. Nothing was sent, so
+     * the request goes to another target.
      *
      * @param from The attempt.
      */
-    void targetClosed(SendAttempt from) {
+    void targetUnavailable(SendAttempt from) {
         attempt = null;
-        engines.ifPresent(EngineRouting::notRead);
+        engines.ifPresent(EngineRouting::rollBackSent);
         core.log().attemptFailed(requestId(), targetId(from), "closed");
-        history.notSent();
+        history.withdrawAttempt();
         trySend();
     }
 
-    /** Sends the request once more behind an attempt that broke off, if it may be sent. */
-    private void repeat() {
+    private void retryFailed() {
         if (over) {
             return;
         }
         if (mayRetry()) {
             trySend();
         } else {
-            giveUp(ErrorKind.TARGET_FAILED, 0);
+            fail(ErrorKind.TARGET_FAILED, 0);
         }
     }
 
     /**
-     * Stops the request if it is one that is held back from now on.
+     * Cancels the request if it has a fingerprint that was quarantined.
      *
-     * @param fingerprint What is held back.
+     * @param fingerprint The quarantined fingerprint.
      */
-    void stopIfHeld(Fingerprint fingerprint) {
+    void stopIfQuarantined(Fingerprint fingerprint) {
+        // Compares the scope first, since the fingerprint may need a hash of the body.
         if (identity.scope() == fingerprint.scope() && identity.fingerprint().equals(fingerprint)) {
             cancelAttempt();
-            giveUp(ErrorKind.ENDS_TARGETS, 0);
+            fail(ErrorKind.ENDS_TARGETS, 0);
         }
     }
 
-    /** Tries another target behind one that was not reachable, since nothing was sent. */
+    /** Retries a request of which nothing was sent. This needs no retry budget. */
     private void retryUnreachable() {
-        history.notReached();
-        if (history.mayTryFurther() && leftMillis() > 0) {
+        history.recordUnreachable();
+        if (history.mayTryAnotherTarget() && leftMillis() > 0) {
             trySend();
         } else {
-            giveUp(ErrorKind.NO_TARGET, RETRY_SOON_SECONDS);
+            fail(ErrorKind.NO_TARGET, RETRY_CAPACITY_SECONDS);
         }
     }
 
-    /**
-     * Takes another attempt, if there may be one.
-     *
-     * @return {@code true} if the request may be sent again.
-     */
+    /** Tells whether the request may be retried, and if so takes the retry from the budget. */
     private boolean mayRetry() {
         return history.attempts() < route.maxAttempts() && leftMillis() > 0 && core.takeRetry();
     }
 
-    /** Ends the request at its deadline. */
     private void timedOut() {
         if (over) {
             return;
         }
         cancelAttempt();
-        boolean never = history.attempts() == 0;
-        giveUp(never ? ErrorKind.WAIT_TOO_LONG : ErrorKind.TARGET_TIMEOUT, 0);
+        boolean neverSent = history.attempts() == 0;
+        fail(neverSent ? ErrorKind.WAIT_TOO_LONG : ErrorKind.TARGET_TIMEOUT, 0);
     }
 
-    /** Ends the request because the caller left. */
-    private void left() {
+    private void callerDisconnected() {
         if (over) {
             return;
         }
@@ -576,29 +536,30 @@
         finish();
     }
 
-    /** Lets the target stop its work. */
+    /** Cancels the attempt in progress, if there is one, so that the target stops its work. */
     private void cancelAttempt() {
         if (attempt != null) {
-            core.harmful().givenUp(attempt.target(), identity);
+            core.harmful().attemptCancelled(attempt.target(), identity);
             attempt.cancel();
             attempt = null;
         }
     }
 
     /**
-     * Ends the request without a target's answer. What may have run is never answered as not run.
+     * Ends the request without a target's response. If a target may have run it, the caller never
+     * gets a status that promises the opposite; if a response has begun, the connection is closed.
      *
-     * @param kind The kind of the answer if nothing ran.
-     * @param retrySeconds When the caller may come back, in seconds, or 0.
+     * @param kind The error to respond with if no target ran the request.
+     * @param retrySeconds The delay after which the caller may retry, in seconds, or 0.
      */
-    private void giveUp(ErrorKind kind, double retrySeconds) {
+    private void fail(ErrorKind kind, double retrySeconds) {
         if (exchange.begun()) {
             logFailure(ErrorKind.STREAM_BROKEN);
             abort();
-        } else if (history.mayHaveRun() && PROMISES.contains(kind.status())) {
-            answer(ErrorKind.TARGET_FAILED, 0);
+        } else if (history.mayHaveRun() && NOT_RUN_STATUSES.contains(kind.status())) {
+            respond(ErrorKind.TARGET_FAILED, 0);
         } else {
-            answer(kind, retrySeconds);
+            respond(kind, retrySeconds);
         }
     }
 
@@ -609,22 +570,17 @@
     }
 
     /**
-     * Answers the request with an answer of the gateway's own.
+     * Ends the request with a response of the gateway itself.
      *
-     * @param kind The kind of the answer.
-     * @param retrySeconds When the caller may come back, in seconds, or 0.
+     * @param kind The error to respond with.
+     * @param retrySeconds The delay after which the caller may retry, in seconds, or 0.
      */
-    private void answer(ErrorKind kind, double retrySeconds) {
+    private void respond(ErrorKind kind, double retrySeconds) {
         logFailure(kind);
-        ownAnswers.give(kind, retrySeconds);
+        localResponder.respond(kind, retrySeconds);
         finish();
     }
 
-    /**
-     * Logs that the request ends without a target's answer.
-     *
-     * @param kind Why.
-     */
     private void logFailure(ErrorKind kind) {
         core.log()
                 .failed(
@@ -633,18 +589,18 @@
                         routeName(),
                         organisation.orElse(""),
                         history.attempts(),
-                        held());
+                        heldMillis());
     }
 
-    /** Frees what the request holds. */
+    /** Releases everything that the request holds. */
     private void finish() {
         if (!over) {
             over = true;
             core.end();
             core.queue().remove(this);
             core.harmful().end(this);
-            if (timer != null) {
-                timer.cancel();
+            if (deadlineTimer != null) {
+                deadlineTimer.cancel();
             }
         }
     }
@@ -652,54 +608,30 @@
     /**
      * Returns the present time.
      *
-     * @return The time in milliseconds.
+     * @return The time of the event loop, in milliseconds.
      */
     long now() {
         return core.now();
     }
 
-    /**
-     * Returns how long the request may still be held.
-     *
-     * @return The time in milliseconds, negative behind its deadline.
-     */
+    /** Returns the time until the deadline, in milliseconds, negative after it. */
     private long leftMillis() {
         return deadlineMillis - core.now();
     }
 
-    /**
-     * Returns how long the request was held.
-     *
-     * @return The time in milliseconds.
-     */
-    private long held() {
+    /** Returns the time since the request arrived, in milliseconds. */
+    private long heldMillis() {
         return core.now() - arrivedMillis;
     }
 
-    /**
-     * Returns the route's name.
-     *
-     * @return The name or an empty text.
-     */
     private String routeName() {
         return route == null ? "" : route.name();
     }
 
-    /**
-     * Returns the id of the caller's attempt.
-     *
-     * @return The id or an empty text.
-     */
     private String requestId() {
         return facts.requestId().orElse("");
     }
 
-    /**
-     * Returns the id of an attempt's target.
-     *
-     * @param of The attempt.
-     * @return The id.
-     */
     private static String targetId(SendAttempt of) {
         return of.target().load().target().id();
     }
--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -10,46 +10,43 @@
 import org.martenwell.stream.WholeEvents;
 
 /**
- * Hands the answers of targets on to a caller: streams as they arrive, all others whole. A stream
- * that may be resumed is cut behind whole events, so that another target can go on from there.
+ * Forwards the responses of targets to a caller. Streams are forwarded as they arrive, all other
+ * responses once they are complete. A resumable stream is forwarded in whole events only, so that
+ * another target can continue it.
  */
 final class ResponseRelay {
 
-    /** The status of a good answer. */
     private static final int OK = 200;
 
-    /** How much of an answer may wait for the caller before the target is not read on, in bytes. */
+    /** The backlog of unsent bytes above which reading from the target is paused. */
     private static final int MAX_UNREAD_BYTES = 262_144;
 
-    /** How often a caller that reads slowly is looked at, in milliseconds. */
-    private static final long SLOW_READER_MILLIS = 20;
+    /** The interval at which the backlog of a slow caller is checked, in milliseconds. */
+    private static final long BACKLOG_CHECK_MILLIS = 20;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** The request and its answer. */
     private final CallerExchange exchange;
 
-    /** The attempt whose answer is handed on or {@code null}. */
+    /** The attempt whose response is forwarded, or {@code null} before the first attempt. */
     private SendAttempt source;
 
-    /** The head of the answer or {@code null}. */
+    /** The head of the response, or {@code null} until it arrives. */
     private HttpResponse head;
 
-    /** Whether the answer is handed on as it arrives. */
     private boolean streaming;
 
-    /** The answer that is handed on whole. */
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    /** The body of a response that is forwarded once it is complete. */
+    private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream();
 
-    /** Cuts a stream that may be resumed behind whole events. */
+    /** Splits a resumable stream at event boundaries. */
     private final WholeEvents events = new WholeEvents();
 
     /**
-     * Creates a relay that has no answer yet.
+     * Creates a relay that awaits its first attempt.
      *
-     * @param core What all requests share.
-     * @param exchange The request and its answer.
+     * @param core The state that all requests share.
+     * @param exchange The request and its response.
      */
     ResponseRelay(GatewayCore core, CallerExchange exchange) {
         this.core = core;
@@ -57,51 +54,52 @@
     }
 
     /**
-     * Drops what an earlier attempt left unfinished.
+     * Discards the incomplete response of an earlier attempt and awaits the next one.
      *
-     * @param attempt The attempt that follows.
+     * @param attempt The new attempt.
      */
-    void expect(SendAttempt attempt) {
+    void reset(SendAttempt attempt) {
         source = attempt;
         head = null;
         streaming = false;
-        whole.reset();
+        bufferedBody.reset();
         events.reset();
     }
 
     /**
-     * Takes the head of an answer.
+     * Accepts the head of a response.
      *
-     * @param answer The head.
+     * @param response The head.
      * @param route The request's route.
-     * @return {@code false} if the answer can't follow what the caller has got already.
+     * @return {@code false} if the caller already received a part of a stream that this response
+     *     does not continue.
      */
-    boolean begin(HttpResponse answer, Route route) {
-        head = answer;
+    boolean begin(HttpResponse response, Route route) {
+        head = response;
         streaming = status() == OK && route.type() == RouteType.STREAMING;
         return streaming || !exchange.begun();
     }
 
     /**
-     * Takes a piece of an answer.
+     * Accepts a chunk of the response body.
      *
-     * @param piece The piece.
-     * @param resumable Whether the stream may be resumed at another target.
+     * @param chunk The bytes.
+     * @param resumable Whether the stream can be resumed at another target.
      */
-    void receive(byte[] piece, boolean resumable) {
+    void receive(byte[] chunk, boolean resumable) {
         if (!streaming) {
-            whole.writeBytes(piece);
+            bufferedBody.writeBytes(chunk);
             return;
         }
         beginStream();
-        exchange.write(resumable ? events.receive(piece) : piece);
+        exchange.write(resumable ? events.receive(chunk) : chunk);
         if (exchange.unreadBytes() > MAX_UNREAD_BYTES) {
             source.pause();
-            resumeLater(source);
+            scheduleBacklogCheck(source);
         }
     }
 
-    /** Ends the answer, of which every byte arrived. */
+    /** Completes the response, of which all bytes have arrived. */
     void end() {
         if (streaming) {
             beginStream();
@@ -109,73 +107,63 @@
             exchange.end();
         } else {
             exchange.respond(
-                    status(), core.dialect().forCaller(head.headers()), whole.toByteArray());
+                    status(), core.dialect().forCaller(head.headers()), bufferedBody.toByteArray());
         }
     }
 
     /**
-     * Returns whether the answer is handed on as it arrives.
+     * Returns whether the response is forwarded as it arrives.
      *
-     * @return {@code true} if it is a stream.
+     * @return {@code true} if the response is a stream.
      */
     boolean streaming() {
         return streaming;
     }
 
     /**
-     * Tells whether the answer's end can be told from the end of its connection.
+     * Tells whether the end of the response is marked other than by closing the connection.
      *
-     * @return {@code true} if it has a length or comes in chunks.
+     * @return {@code true} if the response has a content length or chunked encoding.
      */
     boolean framed() {
         return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
     /**
-     * Returns the status of the answer that arrives.
+     * Returns the status of the response. Call it only after {@link #begin}.
      *
-     * @return The status.
+     * @return The HTTP status code.
      */
     int status() {
         return head.status().code();
     }
 
     /**
-     * Returns the last whole event that was handed on.
+     * Returns the last event that was forwarded in whole.
      *
-     * @return The event's id or empty if there was none.
+     * @return The event's id, or empty if no event was forwarded.
      */
     Optional<String> lastEventId() {
         return events.lastId();
     }
 
-    /** Sends the head of a stream, if it was not sent yet. */
     private void beginStream() {
         if (!exchange.begun()) {
             exchange.begin(OK, core.dialect().forCaller(head.headers()));
         }
     }
 
-    /**
-     * Reads on once the caller has read most of what waits.
-     *
-     * @param paused The attempt.
-     */
-    private void resumeLater(SendAttempt paused) {
-        core.reactor().delayBackground(SLOW_READER_MILLIS, () -> lookAtReader(paused));
+    private void scheduleBacklogCheck(SendAttempt paused) {
+        core.reactor().delayBackground(BACKLOG_CHECK_MILLIS, () -> checkBacklog(paused));
     }
 
-    /**
-     * Looks whether a caller that reads slowly has read most of what waits.
-     *
-     * @param paused The attempt.
-     */
-    private void lookAtReader(SendAttempt paused) {
+    /** Resumes a paused attempt once the caller has read half of the permitted backlog. */
+    private void checkBacklog(SendAttempt paused) {
         if (paused != source || exchange.finished()) {
             return;
         }
         if (exchange.unreadBytes() > MAX_UNREAD_BYTES / 2) {
-            resumeLater(paused);
+            scheduleBacklogCheck(paused);
         } else {
             paused.resume();
         }
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -9,43 +9,43 @@
 import org.martenwell.exchange.TargetConnection;
 import org.martenwell.exchange.TargetRequestHead;
 
-/** One sending of a request to one target. It keeps the target's load and connection in order. */
+/**
+ * One attempt to send a request to one target. It accounts for the request in the target's load and
+ * returns the connection to the pool.
+ */
 final class SendAttempt implements AnswerListener {
 
-    /** The part of a header that tells how long a connection may rest. */
-    private static final Pattern REST = Pattern.compile("timeout=(\\d{1,6})");
+    /** The parameter of the {@code Keep-Alive} header with the idle timeout in seconds. */
+    private static final Pattern IDLE_TIMEOUT = Pattern.compile("timeout=(\\d{1,6})");
 
-    /** The header that tells how long a connection may rest. */
     private static final String KEEP_ALIVE = "Keep-Alive";
 
-    /** How much sooner than told a resting connection is given up, in milliseconds. */
-    private static final long REST_MARGIN_MILLIS = 400;
+    /**
+     * The time before the target's idle timeout at which an idle connection is closed, in
+     * milliseconds. It prevents that a request meets a connection that the target closes.
+     */
+    private static final long IDLE_MARGIN_MILLIS = 400;
 
-    /** How many milliseconds a second has. */
-    private static final long SECOND_MILLIS = 1_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** The request. */
     private final RequestDispatch dispatch;
 
-    /** The target. */
     private final KnownTarget target;
 
-    /** What the request puts on the target. */
     private final RunningRequest running;
 
     /** The connection or {@code null} while it opens. */
     private TargetConnection connection;
 
-    /** How long the connection may rest afterwards, in milliseconds, or 0. */
-    private long restMillis;
+    /** The idle timeout of the connection, in milliseconds, or 0 if the target stated none. */
+    private long idleMillis;
 
-    /** When the target was last heard, in milliseconds. */
+    /** The time at which the last chunk of the body arrived, in milliseconds. */
     private long heardMillis;
 
-    /** Whether the target's work for the request began to arrive. */
-    private boolean begun;
+    private boolean bodyBegun;
 
-    /** Whether the attempt is over for the request. */
+    /** Whether the dispatch takes no further events of this attempt. */
     private boolean over;
 
     /**
@@ -53,7 +53,7 @@
      *
      * @param dispatch The request.
      * @param target The target.
-     * @param running What the request puts on the target.
+     * @param running The load that the request puts on the target.
      */
     SendAttempt(RequestDispatch dispatch, KnownTarget target, RunningRequest running) {
         this.dispatch = dispatch;
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Sends the request.
+     * Sends the request over an idle or a new connection.
      *
      * @param head The request.
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Returns the target.
+     * Returns the target of this attempt.
      *
      * @return The target.
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Returns what the request puts on the target.
+     * Returns the load that the request puts on the target.
      *
      * @return The load.
      */
@@ -91,24 +91,24 @@
     }
 
     /**
-     * Returns how long the target has sent nothing.
+     * Returns the time since the last chunk of the body arrived.
      *
-     * @return The time in milliseconds.
+     * @return The time in milliseconds, counted from sending before the first chunk.
      */
     long silentMillis() {
         return dispatch.now() - heardMillis;
     }
 
     /**
-     * Returns whether the attempt is over.
+     * Returns whether the attempt is complete.
      *
-     * @return {@code true} if its answer ended, failed or is no longer wanted.
+     * @return {@code true} if its response ended, failed or is no longer wanted.
      */
     boolean over() {
         return over;
     }
 
-    /** Ends the attempt, so that the target stops its work. */
+    /** Cancels the attempt and closes its connection, so that the target stops its work. */
     void cancel() {
         if (!over) {
             over = true;
@@ -119,18 +119,18 @@
         }
     }
 
-    /** Leaves the rest of the answer unread, but lets it arrive, so that its connection lasts. */
-    void release() {
+    /** Ignores the rest of the response but reads it, so that the connection can be reused. */
+    void ignoreResponse() {
         over = true;
         target.load().ended(running);
     }
 
-    /** Stops reading the answer until {@link #resume}. */
+    /** Pauses reading the response until {@link #resume}. */
     void pause() {
         connection.pause();
     }
 
-    /** Reads on. */
+    /** Resumes reading the response. */
     void resume() {
         connection.resume();
     }
@@ -142,13 +142,13 @@
 
     @Override
     public void begun(HttpResponse head) {
-        Matcher rest = REST.matcher(head.headers().get(KEEP_ALIVE, ""));
-        if (rest.find()) {
-            long told = Long.parseLong(rest.group(1)) * SECOND_MILLIS;
-            restMillis = Math.max(1, told - REST_MARGIN_MILLIS);
+        Matcher timeout = IDLE_TIMEOUT.matcher(head.headers().get(KEEP_ALIVE, ""));
+        if (timeout.find()) {
+            long statedMillis = Long.parseLong(timeout.group(1)) * MILLIS_PER_SECOND;
+            idleMillis = Math.max(1, statedMillis - IDLE_MARGIN_MILLIS);
         }
         if (!over) {
-            dispatch.answerBegun(this, head);
+            dispatch.responseBegun(this, head);
         }
     }
 
@@ -156,8 +156,8 @@
     public void received(byte[] piece) {
         heardMillis = dispatch.now();
         if (!over) {
-            noteBegun();
-            dispatch.answerReceived(piece);
+            noteBodyBegun();
+            dispatch.responseReceived(piece);
         }
     }
 
@@ -166,9 +166,9 @@
         boolean open = !over;
         over = true;
         target.load().ended(running);
-        target.connections().keep(connection, restMillis);
+        target.connections().keep(connection, idleMillis);
         if (open) {
-            dispatch.answerEnded(this);
+            dispatch.responseEnded(this);
         }
     }
 
@@ -181,29 +181,25 @@
         }
     }
 
-    /** Notes that the target has read the prompt. */
-    private void noteBegun() {
-        if (!begun) {
-            begun = true;
+    /**
+     * Records the first chunk of the body, which shows that the target has prefilled the prompt.
+     */
+    private void noteBodyBegun() {
+        if (!bodyBegun) {
+            bodyBegun = true;
             target.load().begun(running);
-            dispatch.firstPiece(this);
+            dispatch.bodyBegun(this);
         }
     }
 
-    /**
-     * Takes the connection.
-     *
-     * @param opened The connection.
-     */
     private void opened(TargetConnection opened) {
         connection = opened;
         if (over) {
             opened.cancel();
         } else if (!target.load().availability().open(dispatch.now())) {
-            // Opening a connection takes up to 400 ms, in which the target may have said that it
-            // leaves or rests.
+            // While the connection opened, the target may have started to drain or to pause.
             cancel();
-            dispatch.targetClosed(this);
+            dispatch.targetUnavailable(this);
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/SendHistory.java
+++ b/src/main/java/org/martenwell/gateway/SendHistory.java
@@ -3,89 +3,85 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** To which targets a request was sent, and whether one of them may have run it. */
+/** Attempts of one request: the targets that were tried and whether one may have run it. */
 final class SendHistory {
 
-    /** How often a target may be unreachable before the request is given up. */
+    /** The number of unreachable targets after which the request still tries another one. */
     private static final int MAX_UNREACHABLE = 3;
 
-    /** The ids of the targets that were tried. */
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedTargets = new HashSet<>();
 
-    /** To how many targets the request was sent. */
     private int attempts;
 
-    /** How many targets were not reachable. */
     private int unreachable;
 
-    /** Whether a target may have run the request. */
     private boolean mayHaveRun;
 
     /** Creates the history of a request that was not sent yet. */
     SendHistory() {}
 
     /**
-     * Notes that the request is sent to a target.
+     * Records an attempt at a target.
      *
      * @param target The target's id.
-     * @return {@code true} if it was never sent before.
+     * @return {@code true} if it is the request's first attempt.
      */
-    boolean begin(String target) {
-        // The count of attempts falls to zero again behind a target that was not reached; taken for
-        // a new request each time, one earned up to four times the retries that it may.
-        boolean first = tried.isEmpty();
+    boolean recordAttempt(String target) {
+        // The count of attempts is no sign of a new request, as withdrawn attempts lower it. A
+        // request counted as new more than once would add more than its share of retries.
+        boolean first = triedTargets.isEmpty();
         attempts++;
-        tried.add(target);
+        triedTargets.add(target);
         return first;
     }
 
-    /** Takes back that the request was sent, since nothing of it was. */
-    void notSent() {
+    /** Withdraws the last attempt, of which no byte was sent. */
+    void withdrawAttempt() {
         attempts--;
     }
 
-    /** Takes back that the request was sent, since its target was not reachable. */
-    void notReached() {
-        notSent();
+    /** Withdraws the last attempt because its target could not be reached. */
+    void recordUnreachable() {
+        withdrawAttempt();
         unreachable++;
     }
 
-    /** Notes that a target may have run the request. */
-    void ran() {
+    /** Records that a target may have run the request. */
+    void markPossiblyRun() {
         mayHaveRun = true;
     }
 
     /**
-     * Returns the ids of the targets that were tried.
+     * Returns the targets that were tried.
      *
-     * @return The ids, also of those to which nothing was sent in the end.
+     * @return The ids of the targets, including those of withdrawn attempts.
      */
-    Set<String> tried() {
-        return tried;
+    Set<String> triedTargets() {
+        return triedTargets;
     }
 
     /**
-     * Returns to how many targets the request was sent.
+     * Returns the number of attempts.
      *
-     * @return The number of targets.
+     * @return The number of attempts, without those that were withdrawn.
      */
     int attempts() {
         return attempts;
     }
 
     /**
-     * Tells whether another target may be tried behind those that were not reachable.
+     * Tells whether the request may try another target after unreachable ones.
      *
-     * @return {@code true} if there were few of them.
+     * @return {@code false} if too many targets were unreachable.
      */
-    boolean mayTryFurther() {
+    boolean mayTryAnotherTarget() {
         return unreachable <= MAX_UNREACHABLE;
     }
 
     /**
      * Tells whether a target may have run the request.
      *
-     * @return {@code true} unless it is known that none has.
+     * @return {@code false} if no target can have run it.
      */
     boolean mayHaveRun() {
         return mayHaveRun;
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -9,216 +9,183 @@
 import org.martenwell.exchange.Reach;
 
 /**
- * Finds out whether a target has ended when attempts at it break off. A connection that is refused
- * tells so within a millisecond or two; where none is, the target's entry in the directory does
- * later.
+ * Detects whether a target crashed when attempts at it fail, and reports the requests that it had.
+ * A probe connection that is refused confirms a crash within milliseconds; otherwise the target's
+ * removal from the directory does so later.
  */
 final class TargetCrashDetector {
 
     /**
-     * For how long after an attempt broke off the end of its target is held against it, in
-     * milliseconds: a target whose end nobody was told of stays in the directory for some 4 s.
+     * The time after a failed attempt within which a crash is attributed to its request, in
+     * milliseconds. A crashed target stays in the directory for about 4 s.
      */
-    private static final long BROKEN_MILLIS = 6_000;
+    private static final long FAILED_ATTEMPT_MILLIS = 6_000;
 
     /**
-     * The same for an attempt that was given up, which the target may have gone on with, in
-     * milliseconds.
+     * The time after a cancelled attempt within which a crash is attributed to its request, in
+     * milliseconds. The target may have gone on with the request.
      */
-    private static final long GIVEN_UP_MILLIS = 1_000;
+    private static final long CANCELLED_ATTEMPT_MILLIS = 1_000;
 
     /**
-     * How long an attempt waits at most to learn whether its target ended, in milliseconds. A
-     * connection is refused within 3 ms; a request that may be repeated should not lose more.
+     * The longest time that a failed attempt waits for the verdict, in milliseconds. It delays the
+     * retry; a connection to a crashed target is usually refused within 3 ms.
      */
-    private static final long VERDICT_MILLIS = 100;
+    private static final long VERDICT_TIMEOUT_MILLIS = 100;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Is told of targets that ended. */
-    private final EndListener listener;
+    private final CrashListener listener;
 
-    /** What broke off lately, by the target's life, the longest unchanged first. */
-    private final Map<String, Life> lives = new LinkedHashMap<>();
+    /** Recent attempts by the target's incarnation, the least recently changed first. */
+    private final Map<String, Incarnation> incarnations = new LinkedHashMap<>();
 
-    /** Is told of targets that ended. */
-    interface EndListener {
+    /** Listener for crashes of targets. */
+    interface CrashListener {
 
         /**
-         * Called for each request that a target had when it ended.
+         * Reports a request that was in progress at a target when it crashed.
          *
          * @param suspect The request.
-         * @param life The target's life.
+         * @param incarnation The target's incarnation.
          */
-        void ended(SuspectRequest suspect, String life);
+        void crashed(SuspectRequest suspect, String incarnation);
     }
 
     /**
-     * An attempt that broke off or was given up.
+     * Attempt that failed or was cancelled.
      *
      * @param suspect The request.
-     * @param untilMillis Until when the end of the target is held against it, in milliseconds.
+     * @param untilMillis The time until which a crash is attributed to the request, in
+     *     milliseconds.
      */
     private record Attempt(SuspectRequest suspect, long untilMillis) {}
 
-    /** What broke off at one life of a target. */
-    private static final class Life {
+    /** Recent attempts at one incarnation of a target. */
+    private static final class Incarnation {
 
-        /** The attempts. */
         private final List<Attempt> attempts = new ArrayList<>();
 
-        /** Those who wait to learn whether the target ended. */
+        /** The callbacks of failed attempts that wait for the verdict. */
         private final List<Runnable> waiting = new ArrayList<>();
 
-        /** Whether a connection is being opened to find out. */
         private boolean probing;
 
-        /** Whether the target is known to have ended. */
-        private boolean ended;
+        private boolean crashed;
 
-        /** When anything last changed, in milliseconds. */
         private long changedMillis;
     }
 
     /**
-     * Creates a watch that has seen nothing.
+     * Creates a detector.
      *
-     * @param reactor The loop.
-     * @param listener Is told of targets that ended.
+     * @param reactor The event loop.
+     * @param listener The listener for crashes.
      */
-    TargetCrashDetector(NioReactor reactor, EndListener listener) {
+    TargetCrashDetector(NioReactor reactor, CrashListener listener) {
         this.reactor = reactor;
         this.listener = listener;
     }
 
     /**
-     * Notes that an attempt broke off, and finds out whether its target ended.
+     * Records that an attempt failed, and probes whether its target crashed.
      *
      * @param target The target.
      * @param suspect The request.
-     * @param verdict Called once that is known or has taken too long.
+     * @param verdict The callback that runs once the probe is complete or has timed out.
      */
-    void broken(KnownTarget target, SuspectRequest suspect, Runnable verdict) {
-        Life life = touch(target);
-        if (life.ended) {
-            listener.ended(suspect, name(target));
+    void attemptFailed(KnownTarget target, SuspectRequest suspect, Runnable verdict) {
+        Incarnation incarnation = touch(target);
+        if (incarnation.crashed) {
+            listener.crashed(suspect, incarnationOf(target));
             verdict.run();
             return;
         }
-        life.attempts.add(new Attempt(suspect, reactor.currentTimeMillis() + BROKEN_MILLIS));
-        life.waiting.add(verdict);
-        reactor.delayBackground(VERDICT_MILLIS, () -> tell(life));
-        if (!life.probing) {
-            life.probing = true;
-            target.connections().probe(reach -> probed(target, life, reach));
+        incarnation.attempts.add(
+                new Attempt(suspect, reactor.currentTimeMillis() + FAILED_ATTEMPT_MILLIS));
+        incarnation.waiting.add(verdict);
+        reactor.delayBackground(VERDICT_TIMEOUT_MILLIS, () -> runWaiting(incarnation));
+        if (!incarnation.probing) {
+            incarnation.probing = true;
+            target.connections().probe(reach -> probed(target, incarnation, reach));
         }
     }
 
     /**
-     * Notes that an attempt was given up, which its target may have gone on with.
+     * Records that the gateway cancelled an attempt.
      *
      * @param target The target.
      * @param suspect The request.
      */
-    void givenUp(KnownTarget target, SuspectRequest suspect) {
-        long until = reactor.currentTimeMillis() + GIVEN_UP_MILLIS;
+    void attemptCancelled(KnownTarget target, SuspectRequest suspect) {
+        long until = reactor.currentTimeMillis() + CANCELLED_ATTEMPT_MILLIS;
         touch(target).attempts.add(new Attempt(suspect, until));
     }
 
     /**
-     * Notes that a target has ended.
+     * Records that a target crashed, as seen by a refused connection or by the directory.
      *
      * @param target The target.
      */
-    void ended(KnownTarget target) {
-        Life life = lives.get(name(target));
-        if (life != null) {
-            end(target, life);
+    void targetCrashed(KnownTarget target) {
+        Incarnation incarnation = incarnations.get(incarnationOf(target));
+        if (incarnation != null) {
+            reportCrash(target, incarnation);
         }
     }
 
-    /**
-     * Takes what came of a connection that was opened to find out.
-     *
-     * @param target The target.
-     * @param life What broke off there.
-     * @param reach What came of it.
-     */
-    private void probed(KnownTarget target, Life life, Reach reach) {
-        life.probing = false;
+    private void probed(KnownTarget target, Incarnation incarnation, Reach reach) {
+        incarnation.probing = false;
         if (reach == Reach.REFUSED) {
             target.load().health().notReached(reactor.currentTimeMillis());
-            end(target, life);
+            reportCrash(target, incarnation);
         }
-        // One that is accepted may have come too late and reach the target's next life, so the
-        // directory may still tell that this one ended.
-        tell(life);
+        // An accepted probe is no proof that the target lives: it may have reached the next
+        // incarnation. The directory may still report the crash later.
+        runWaiting(incarnation);
     }
 
-    /**
-     * Holds the end of a target against what it had.
-     *
-     * @param target The target.
-     * @param life What broke off there.
-     */
-    private void end(KnownTarget target, Life life) {
-        life.ended = true;
+    private void reportCrash(KnownTarget target, Incarnation incarnation) {
+        incarnation.crashed = true;
         long now = reactor.currentTimeMillis();
-        for (Attempt each : List.copyOf(life.attempts)) {
+        for (Attempt each : List.copyOf(incarnation.attempts)) {
             if (now <= each.untilMillis()) {
-                listener.ended(each.suspect(), name(target));
+                listener.crashed(each.suspect(), incarnationOf(target));
             }
         }
-        life.attempts.clear();
+        incarnation.attempts.clear();
     }
 
-    /**
-     * Tells those who wait.
-     *
-     * @param life What broke off at a target.
-     */
-    private static void tell(Life life) {
-        List<Runnable> told = List.copyOf(life.waiting);
-        life.waiting.clear();
-        told.forEach(Runnable::run);
+    private static void runWaiting(Incarnation incarnation) {
+        List<Runnable> waiting = List.copyOf(incarnation.waiting);
+        incarnation.waiting.clear();
+        waiting.forEach(Runnable::run);
     }
 
-    /**
-     * Returns what broke off at a target, as the life that changed last.
-     *
-     * @param target The target.
-     * @return What broke off there.
-     */
-    private Life touch(KnownTarget target) {
+    /** Returns the attempts at a target's incarnation and moves it to the end of the map. */
+    private Incarnation touch(KnownTarget target) {
         long now = reactor.currentTimeMillis();
-        forgetBefore(now - BROKEN_MILLIS);
-        Life known = lives.remove(name(target));
-        Life touched = known == null ? new Life() : known;
+        expire(now - FAILED_ATTEMPT_MILLIS);
+        Incarnation known = incarnations.remove(incarnationOf(target));
+        Incarnation touched = known == null ? new Incarnation() : known;
         touched.changedMillis = now;
-        lives.put(name(target), touched);
+        incarnations.put(incarnationOf(target), touched);
         return touched;
     }
 
     /**
-     * Forgets lives that have not changed for long.
+     * Removes incarnations that have not changed recently.
      *
-     * @param millis The time before which they last changed, in milliseconds.
+     * @param beforeMillis The time before which they last changed, in milliseconds.
      */
-    private void forgetBefore(long millis) {
-        Iterator<Life> all = lives.values().iterator();
-        while (all.hasNext() && all.next().changedMillis < millis) {
+    private void expire(long beforeMillis) {
+        Iterator<Incarnation> all = incarnations.values().iterator();
+        while (all.hasNext() && all.next().changedMillis < beforeMillis) {
             all.remove();
         }
     }
 
-    /**
-     * Returns the name of a target's life.
-     *
-     * @param target The target.
-     * @return The name.
-     */
-    private static String name(KnownTarget target) {
+    private static String incarnationOf(KnownTarget target) {
         return target.load().target().life();
     }
 }
--- a/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
+++ b/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
@@ -14,7 +14,7 @@
 import org.martenwell.route.EngineTerms;
 import org.martenwell.service.IpAddress;
 
-/** Tests what an engine is taken to keep behind a request that it did not run. */
+/** Tests the rollback of assumed cache entries, at the gateway and in reports to its peers. */
 final class AssumedCacheEntriesTest {
 
     private static final PromptPart GENERAL = new PromptPart("general", 100);
@@ -41,13 +41,13 @@
     private final PromptChain chain = PromptChain.of("m", List.of(GENERAL, SPECIAL, OWN));
 
     @Test
-    void testPartsThatWereNotReadAreTakenBackAndPeersAreTold() {
+    void testAddedEntriesAreRolledBackAndReported() {
         core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
         load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
-        AssumedCacheEntries placed = AssumedCacheEntries.at(core, load, chain);
+        AssumedCacheEntries entries = AssumedCacheEntries.add(core, load, chain);
         assertThat(load.memory().keptTokens(chain)).isEqualTo(300);
         core.takePlaced();
-        placed.takeBack();
+        entries.rollBack();
         assertThat(load.memory().keptTokens(chain)).isEqualTo(100);
         assertThat(core.takePlaced())
                 .containsExactly(new PlacedPart("t@1", PromptChain.key("m", SPECIAL.id()), 0));
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -19,17 +19,12 @@
 import org.martenwell.share.ShareTier;
 
 /**
- * In a fleet of seven gateways, an organisation asked for 4.5 M tokens in six seconds and got 0.64
- * M, another one got 1.52 M. The callers of each came to one gateway. The first one was far below
- * its share of what the fleet produced (0.39 M of 0.73 M a window), and its gateway, which was
- * idle, refused its requests at once as beyond the share. Each gateway reckons from its own prompts
- * how many engines those within promised shares need; the one with long prompts reserved all of
- * them, the other some. A request within its share of what is produced may now use a reserved
- * engine that has nothing to do.
+ * Guards against refusing an organisation below its share of the observed capacity because its
+ * gateway has reserved all engines, although they are idle.
  */
 final class EngineReserveShareTest {
 
-    /** What the fleet is promised to produce, in tokens a second. */
+    /** The promised capacity of the fleet, in tokens per second. */
     private static final long PROMISED_TOKENS = 10_000;
 
     private static final EngineTerms TERMS = new EngineTerms(4, 100_000, true);
@@ -61,7 +56,7 @@
     }
 
     @Test
-    void testRequestWithinItsShareOfWhatIsProducedIsServedByIdleEngines() {
+    void testRequestWithinObservedShareUsesIdleReservedEngine() {
         core.shares().asked("high", 100 * PROMISED_TOKENS, core.now());
         core.shares().begun("high", 20 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
         core.shares().asked("low", 100 * PROMISED_TOKENS, core.now());
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -23,18 +23,20 @@
 import org.martenwell.share.ShareSums;
 import org.martenwell.share.ShareTier;
 
-/** Tests what becomes of requests when no engine has room, and of beliefs behind a refusal. */
+/**
+ * Tests routing when no engine has capacity, and the rollback of cache entries and charges after
+ * failed attempts.
+ */
 final class EngineRoutingTest {
 
-    /** How many requests an engine runs at a time. */
-    private static final int PLACES = 4;
+    private static final int SLOTS = 4;
 
-    private static final EngineTerms TERMS = new EngineTerms(PLACES, 100_000, true);
+    private static final EngineTerms TERMS = new EngineTerms(SLOTS, 100_000, true);
 
-    /** What the fleet is promised to produce, in tokens a second. */
+    /** The promised capacity of the fleet, in tokens per second. */
     private static final long PROMISED_TOKENS = 10_000;
 
-    /** What the request costs, in tokens of capacity. */
+    /** The cost of the request, in tokens of capacity. */
     private static final double COST = 5_029;
 
     private final Eventloop loop =
@@ -63,9 +65,9 @@
     }
 
     @Test
-    void testRetryWithoutRoomCopiesThePrompt() {
-        fill(loads.get(0), PLACES);
-        fill(loads.get(1), PLACES + 1);
+    void testRetryWithoutCapacityCopiesCachedPrompt() {
+        fill(loads.get(0), SLOTS);
+        fill(loads.get(1), SLOTS + 1);
         loads.get(1).memory().keep(chain, 100_000);
         EngineChoice choice = routing.decide(loads, 1, null).choice().orElseThrow();
         assertThat(choice.load()).isSameAs(loads.get(0));
@@ -74,91 +76,85 @@
     }
 
     @Test
-    void testFirstTryWithoutRoomWaitsAndIsThenRefused() {
-        fill(loads.get(0), PLACES);
-        fill(loads.get(1), PLACES);
-        EngineRouting.Decision waits = routing.decide(loads, 0, GatewayCores.route(60_000));
-        assertThat(waits.choice()).isEmpty();
-        assertThat(waits.refusal()).isEmpty();
-        EngineRouting.Decision ends = routing.decide(loads, 0, GatewayCores.route(0));
-        assertThat(ends.refusal()).contains(ErrorKind.WAIT_TOO_LONG);
+    void testFirstAttemptWithoutCapacityWaitsAndIsThenRefused() {
+        fill(loads.get(0), SLOTS);
+        fill(loads.get(1), SLOTS);
+        EngineRouting.Decision waiting = routing.decide(loads, 0, GatewayCores.route(60_000));
+        assertThat(waiting.choice()).isEmpty();
+        assertThat(waiting.refusal()).isEmpty();
+        EngineRouting.Decision refused = routing.decide(loads, 0, GatewayCores.route(0));
+        assertThat(refused.refusal()).contains(ErrorKind.WAIT_TOO_LONG);
     }
 
     @Test
-    void testRefusedPromptIsNotTakenToBeKeptAndABegunOneIs() {
-        routing.sent(choice(loads.get(0)));
-        routing.notRead();
+    void testCacheEntriesAreRolledBackOnlyBeforeResponseStart() {
+        routing.recordSent(choice(loads.get(0)));
+        routing.rollBackSent();
         assertThat(loads.get(0).memory().keptTokens(chain)).isZero();
-        routing.sent(choice(loads.get(0)));
-        routing.begun(new RunningRequest(5_009, 10, core.now(), 0));
-        routing.notRead();
+        routing.recordSent(choice(loads.get(0)));
+        routing.recordResponseStart(new RunningRequest(5_009, 10, core.now(), 0));
+        routing.rollBackSent();
         assertThat(loads.get(0).memory().keptTokens(chain)).isEqualTo(5_000);
     }
 
-    /**
-     * Behind the crash of 15 of 62 engines an organisation that asked for several times its share
-     * got less than half of what another one got. In two of these seconds gateways failed 2,173
-     * times to connect to a dead engine. Each time the request went on to the next engine, it was
-     * counted once more as served, so that the organisation seemed to have used its share up.
-     */
+    /** Guards against charging the organisation once for each unreachable engine. */
     @Test
-    void testRequestCountsOnceHoweverManyEnginesWereNotReached() {
-        routing.asked();
+    void testRequestIsChargedOnceAfterUnreachableEngines() {
+        routing.recordDemand();
         for (int engine = 0; engine < 3; engine++) {
-            routing.sent(choice(loads.get(engine % 2)));
-            routing.notRead();
+            routing.recordSent(choice(loads.get(engine % 2)));
+            routing.rollBackSent();
         }
-        routing.sent(choice(loads.get(0)));
-        assertThat(begunTokens()).isEqualTo(COST);
+        routing.recordSent(choice(loads.get(0)));
+        assertThat(chargedTokens()).isEqualTo(COST);
     }
 
-    /** Engines that were gone or full made organisations pay for what nobody served. */
     @Test
-    void testRequestThatNoEngineBeganDoesNotCountAgainstItsShare() {
-        routing.asked();
-        routing.sent(choice(loads.get(0)));
-        routing.notRead();
-        assertThat(begunTokens()).isZero();
+    void testRequestThatNoEngineServedIsNotCharged() {
+        routing.recordDemand();
+        routing.recordSent(choice(loads.get(0)));
+        routing.rollBackSent();
+        assertThat(chargedTokens()).isZero();
     }
 
     @Test
-    void testRequestThatBrokeOffBehindItsFirstEventStaysCounted() {
-        routing.asked();
-        routing.sent(choice(loads.get(0)));
-        routing.begun(new RunningRequest(5_009, 10, core.now(), 0));
-        routing.notRead();
-        routing.sent(choice(loads.get(1)));
-        assertThat(begunTokens()).isEqualTo(COST);
+    void testRequestThatFailedAfterResponseStartStaysCharged() {
+        routing.recordDemand();
+        routing.recordSent(choice(loads.get(0)));
+        routing.recordResponseStart(new RunningRequest(5_009, 10, core.now(), 0));
+        routing.rollBackSent();
+        routing.recordSent(choice(loads.get(1)));
+        assertThat(chargedTokens()).isEqualTo(COST);
     }
 
     @Test
-    void testRequestBeyondItsShareLeavesReservedEnginesAlone() {
+    void testRequestBeyondShareDoesNotUseBusyReservedEngines() {
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
-        flood();
+        exceedPromisedShare();
         EngineChoice beyond = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
         List<TargetLoad> spare = core.reserve().spare(loads, core.tokensWithinShares());
         assertThat(spare).containsExactly(beyond.load());
-        fill(beyond.load(), PLACES);
+        fill(beyond.load(), SLOTS);
         TargetLoad reserved = loads.get(loads.indexOf(beyond.load()) == 0 ? 1 : 0);
         fill(reserved, 1);
         assertThat(routing.decide(loads, 0, GatewayCores.route(400)).choice()).isEmpty();
     }
 
     @Test
-    void testRequestBeyondItsPromisedShareIsServedByAReservedEngineThatIsIdle() {
+    void testRequestBeyondPromisedShareUsesIdleReservedEngine() {
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
-        flood();
+        exceedPromisedShare();
         EngineChoice spare = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
-        fill(spare.load(), PLACES);
+        fill(spare.load(), SLOTS);
         EngineRouting.Decision decision = routing.decide(loads, 0, GatewayCores.route(400));
         assertThat(decision.use().tier()).isEqualTo(ShareTier.OBSERVED);
         assertThat(decision.choice().get().load()).isNotSameAs(spare.load());
     }
 
     @Test
-    void testRequestBeyondItsShareIsRefusedAtOnceIfSharesNeedAllEngines() {
+    void testRequestBeyondShareIsRefusedIfAllEnginesAreReserved() {
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
-        flood();
+        exceedPromisedShare();
         core.reserve().sent(1e9, 1);
         loads.forEach(each -> fill(each, 1));
         EngineRouting.Decision refused = routing.decide(loads, 0, GatewayCores.route(60_000));
@@ -166,19 +162,18 @@
         assertThat(refused.refusal()).contains(ErrorKind.RATE_EXCEEDED);
     }
 
-    /** Returns what the organisation got by what this gateway tells its peers. */
-    private double begunTokens() {
+    /** Returns the organisation's charged tokens as reported to peers. */
+    private double chargedTokens() {
         ShareSums sums = core.shares().own(core.now()).sums().get("o");
         return sums == null ? 0 : sums.begun();
     }
 
-    /** Lets the organisation ask for and get more than the fleet is promised to produce. */
-    private void flood() {
+    /** Makes the organisation use more than the promised capacity of the fleet. */
+    private void exceedPromisedShare() {
         core.shares().asked("o", 10 * PROMISED_TOKENS, core.now());
         core.shares().begun("o", 10 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
     }
 
-    /** Fills an engine with requests. */
     private static void fill(TargetLoad load, int requests) {
         for (int request = 0; request < requests; request++) {
             load.sent(new RunningRequest(0, 0, 0, 0));
@@ -196,7 +191,7 @@
                 GatewayCores.SERVICE,
                 IpAddress.of("127.0.0.1:1"),
                 "x",
-                PLACES,
+                SLOTS,
                 false);
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -20,24 +20,27 @@
 import org.martenwell.service.LoopThread;
 import org.martenwell.service.LoopbackPorts;
 
+/** Tests the detection of crashes by probes and by changes of the directory. */
 class TargetCrashDetectorTest {
 
     private static final SuspectRequest SUSPECT =
             new SuspectRequest(
                     new Fingerprint(1, 2), new RequestSummary("GET", "h", "/", "clinic"));
 
-    private final LoopThread thread = LoopThread.start("target-ends");
+    private final LoopThread thread = LoopThread.start("target-crash-detector");
 
     private final String address = LoopbackPorts.free(1).get(0);
 
-    private final List<String> ended = new ArrayList<>();
+    private final List<String> crashed = new ArrayList<>();
 
     private final AtomicInteger verdicts = new AtomicInteger();
 
-    private final TargetCrashDetector ends =
-            new TargetCrashDetector(thread.loop(), (suspect, life) -> ended.add(life));
+    private final TargetCrashDetector detector =
+            new TargetCrashDetector(
+                    thread.loop(), (suspect, incarnation) -> crashed.add(incarnation));
 
-    private final TargetTable table = new TargetTable(thread.loop(), new EndedTargets(ends::ended));
+    private final TargetTable table =
+            new TargetTable(thread.loop(), new EndedTargets(detector::targetCrashed));
 
     @AfterEach
     void stop() {
@@ -45,62 +48,62 @@
     }
 
     @Test
-    void testTargetThatRefusesConnectionsHasEnded() {
-        tell(target("a", 1, false));
-        breakOff("a");
+    void testTargetThatRefusesConnectionsCrashed() {
+        updateTable(target("a", 1, false));
+        failAttempt("a");
         await(() -> verdicts.get() == 1);
-        assertThat(ended()).containsExactly("a@1");
+        assertThat(crashed()).containsExactly("a@1");
     }
 
     @Test
-    void testTargetThatTakesConnectionsHasNot() {
+    void testTargetThatAcceptsConnectionsDidNotCrash() {
         listen();
-        tell(target("a", 1, false));
-        breakOff("a");
+        updateTable(target("a", 1, false));
+        failAttempt("a");
         await(() -> verdicts.get() == 1);
-        assertThat(ended()).isEmpty();
+        assertThat(crashed()).isEmpty();
     }
 
-    /** A gateway that was frozen meanwhile reaches the next life at the same address. */
+    /** The probe of a gateway that was paused may reach the next incarnation. */
     @Test
-    void testTargetThatStartedAgainHasEndedThoughItTakesConnections() {
+    void testRestartedTargetCrashedThoughItAcceptsConnections() {
         listen();
-        tell(target("a", 1, false));
-        breakOff("a");
+        updateTable(target("a", 1, false));
+        failAttempt("a");
         await(() -> verdicts.get() == 1);
-        tell(target("a", 2, false));
-        assertThat(ended()).containsExactly("a@1");
+        updateTable(target("a", 2, false));
+        assertThat(crashed()).containsExactly("a@1");
     }
 
     @Test
-    void testTargetHasEndedWhoseAddressAnotherOneTook() {
+    void testTargetWhoseAddressWasReusedCrashed() {
         listen();
-        tell(target("a", 1, false));
-        breakOff("a");
+        updateTable(target("a", 1, false));
+        failAttempt("a");
         await(() -> verdicts.get() == 1);
-        tell(target("a", 1, false), target("b", 2, false));
-        assertThat(ended()).containsExactly("a@1");
+        updateTable(target("a", 1, false), target("b", 2, false));
+        assertThat(crashed()).containsExactly("a@1");
     }
 
-    /** Its end was planned, and what ran on it to the last did not cause it. */
+    /** A planned shutdown is not attributed to the requests in progress. */
     @Test
-    void testTargetThatLeftEndedByNobodysDoing() {
+    void testTargetThatDrainedDidNotCrash() {
         listen();
-        tell(target("a", 1, false));
-        breakOff("a");
+        updateTable(target("a", 1, false));
+        failAttempt("a");
         await(() -> verdicts.get() == 1);
-        tell(target("a", 1, true));
-        tell();
-        assertThat(ended()).isEmpty();
+        updateTable(target("a", 1, true));
+        updateTable();
+        assertThat(crashed()).isEmpty();
     }
 
     @Test
-    void testAttemptThatWasGivenUpCountsIfItsTargetEndsAtOnce() {
-        tell(target("a", 1, false));
-        run(() -> ends.givenUp(known("a"), SUSPECT));
-        breakOff("a");
+    void testCrashIsAttributedToCancelledAttempt() {
+        updateTable(target("a", 1, false));
+        run(() -> detector.attemptCancelled(known("a"), SUSPECT));
+        failAttempt("a");
         await(() -> verdicts.get() == 1);
-        assertThat(ended()).containsExactly("a@1", "a@1");
+        assertThat(crashed()).containsExactly("a@1", "a@1");
     }
 
     private void listen() {
@@ -109,19 +112,19 @@
         thread.call(server::start);
     }
 
-    private void breakOff(String id) {
-        run(() -> ends.broken(known(id), SUSPECT, verdicts::incrementAndGet));
+    private void failAttempt(String id) {
+        run(() -> detector.attemptFailed(known(id), SUSPECT, verdicts::incrementAndGet));
     }
 
     private KnownTarget known(String id) {
         return table.find(id).orElseThrow();
     }
 
-    private List<String> ended() {
-        return thread.call(() -> Promise.of(List.copyOf(ended)));
+    private List<String> crashed() {
+        return thread.call(() -> Promise.of(List.copyOf(crashed)));
     }
 
-    private void tell(DirectoryTarget... targets) {
+    private void updateTable(DirectoryTarget... targets) {
         Map<String, DirectoryTarget> all = new LinkedHashMap<>();
         for (DirectoryTarget each : targets) {
             all.put(each.id(), each);
@@ -129,9 +132,15 @@
         run(() -> table.update(all));
     }
 
-    private DirectoryTarget target(String id, long bornMillis, boolean leaving) {
+    private DirectoryTarget target(String id, long startMillis, boolean leaving) {
         return new DirectoryTarget(
-                id, OptionalLong.of(bornMillis), "service", IpAddress.of(address), "x", 4, leaving);
+                id,
+                OptionalLong.of(startMillis),
+                "service",
+                IpAddress.of(address),
+                "x",
+                4,
+                leaving);
     }
 
     private void run(Runnable action) {
