--- a/src/main/java/org/martenwell/gateway/AnswerNotice.java
+++ b/src/main/java/org/martenwell/gateway/AnswerNotice.java
@@ -3,7 +3,7 @@
 /**
  * A target's statement about its availability, read from the headers of a response.
  *
- * @param leaving Whether the target is draining and takes no new requests.
+ * @param leaving {@code true} if the target is draining and takes no new requests.
  * @param restMillis The time for which the target asks this gateway to send nothing, in
  *     milliseconds, or 0.
  */
--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -262,7 +262,7 @@
      * Counts changes of prompt caches that engines reported.
      *
      * @param count The number of changes in one response.
-     * @param lost Whether the engine has discarded earlier changes that the gateway missed.
+     * @param lost {@code true} if the engine has discarded earlier changes that the gateway missed.
      */
     void cacheChangesReceived(int count, boolean lost) {
         metrics.counter("kept_changes").inc(count);
@@ -274,7 +274,7 @@
     /**
      * Counts a reported change that corrected the gateway's view of a prompt cache.
      *
-     * @param cached Whether the part is cached; otherwise it was evicted.
+     * @param cached {@code true} if the part is cached, {@code false} if it was evicted.
      */
     void cacheEntryCorrected(boolean cached) {
         metrics.counter(cached ? "kept_parts_learnt" : "kept_parts_dropped").inc();
--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -84,7 +84,7 @@
      * Accepts a chunk of the response body.
      *
      * @param chunk The bytes.
-     * @param resumable Whether the stream can be resumed at another target.
+     * @param resumable {@code true} if the stream can be resumed at another target.
      */
     void receive(byte[] chunk, boolean resumable) {
         if (!streaming) {
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -45,7 +45,7 @@
 
     private boolean bodyBegun;
 
-    /** Whether the dispatch takes no further events of this attempt. */
+    /** Set once the dispatch takes no further events of this attempt. */
     private boolean over;
 
     /**
