--- a/src/main/java/org/martenwell/gateway/LocalResponder.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -17,7 +17,7 @@
 
     private final CallerExchange exchange;
 
-    private final RequestFacts facts;
+    private final RequestMetadata facts;
 
     /**
      * Creates the responder for a request.
@@ -26,7 +26,7 @@
      * @param exchange The request and its response.
      * @param facts The metadata of the request.
      */
-    LocalResponder(GatewayCore core, CallerExchange exchange, RequestFacts facts) {
+    LocalResponder(GatewayCore core, CallerExchange exchange, RequestMetadata facts) {
         this.core = core;
         this.exchange = exchange;
         this.facts = facts;
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -20,7 +20,7 @@
      * @param headers The request's headers.
      * @return The metadata.
      */
-    RequestFacts read(HttpHeaders headers);
+    RequestMetadata read(HttpHeaders headers);
 
     /**
      * Builds the headers of a request that is forwarded to a target.
@@ -45,7 +45,7 @@
      * @param facts The metadata of the caller's request.
      * @return The headers.
      */
-    HttpHeaders ownAnswer(RequestFacts facts);
+    HttpHeaders ownAnswer(RequestMetadata facts);
 
     /**
      * Tells whether a response belongs to a request.
@@ -54,7 +54,7 @@
      * @param facts The metadata of the caller's request.
      * @return {@code true} if the response belongs to the request.
      */
-    boolean belongs(HttpResponse answer, RequestFacts facts);
+    boolean belongs(HttpResponse answer, RequestMetadata facts);
 
     /**
      * Tells whether a response states that the request was not run.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -67,7 +67,7 @@
 
     private final CallerExchange exchange;
 
-    private final RequestFacts facts;
+    private final RequestMetadata facts;
 
     private final long arrivedMillis;
 
--- a/src/main/java/org/martenwell/gateway/RequestFacts.java
+++ b/src/main/java/org/martenwell/gateway/RequestMetadata.java
@@ -12,7 +12,7 @@
  * @param lastEventId The id of the last event that the caller received, if it resumes a stream.
  * @param generation The properties of the prompt, or empty if the request is not for a model.
  */
-public record RequestFacts(
+public record RequestMetadata(
         Optional<String> requestId,
         String host,
         Optional<Long> waitMillis,
