--- a/src/main/java/org/martenwell/gateway/GenerationFacts.java
+++ b/src/main/java/org/martenwell/gateway/GenerationMetadata.java
@@ -11,5 +11,5 @@
  * @param answerTokens The expected size of the response, in tokens.
  * @param parts The parts of the prompt, in order.
  */
-public record GenerationFacts(
+public record GenerationMetadata(
         String model, long promptTokens, long answerTokens, List<PromptPart> parts) {}
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -180,7 +180,7 @@
         if (terms.isEmpty() || facts.generation().isEmpty()) {
             return Optional.empty();
         }
-        GenerationFacts generation = facts.generation().get();
+        GenerationMetadata generation = facts.generation().get();
         PromptNeed need =
                 new PromptNeed(
                         organisation.orElse(""),
--- a/src/main/java/org/martenwell/gateway/RequestMetadata.java
+++ b/src/main/java/org/martenwell/gateway/RequestMetadata.java
@@ -18,4 +18,4 @@
         Optional<Long> waitMillis,
         Optional<String> key,
         Optional<String> lastEventId,
-        Optional<GenerationFacts> generation) {}
+        Optional<GenerationMetadata> generation) {}
