--- a/src/main/java/org/martenwell/gateway/SendFacts.java
+++ b/src/main/java/org/martenwell/gateway/ForwardMetadata.java
@@ -13,7 +13,7 @@
  * @param lastEventId The id of the last event that the caller received, if a stream is resumed.
  * @param copyFrom The address of a target to copy cached prompt parts from, or empty.
  */
-public record SendFacts(
+public record ForwardMetadata(
         String target,
         Optional<Long> leftMillis,
         Optional<String> organisation,
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -29,7 +29,7 @@
      * @param facts The values that the gateway adds.
      * @return The headers, without the hop-by-hop headers of the caller's connection.
      */
-    HttpHeaders forTarget(HttpHeaders headers, SendFacts facts);
+    HttpHeaders forTarget(HttpHeaders headers, ForwardMetadata facts);
 
     /**
      * Builds the headers of a target's response that is forwarded to a caller.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -328,7 +328,7 @@
         return core.dialect()
                 .forTarget(
                         exchange.request().headers(),
-                        new SendFacts(
+                        new ForwardMetadata(
                                 id,
                                 facts.waitMillis().map(stated -> Math.max(1, leftMillis())),
                                 organisation,
