--- a/src/main/java/org/martenwell/gateway/LocalResponder.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -17,19 +17,19 @@
 
     private final CallerExchange exchange;
 
-    private final RequestMetadata facts;
+    private final RequestMetadata metadata;
 
     /**
      * Creates the responder for a request.
      *
      * @param core The state that all requests share.
      * @param exchange The request and its response.
-     * @param facts The metadata of the request.
+     * @param metadata The metadata of the request.
      */
-    LocalResponder(GatewayCore core, CallerExchange exchange, RequestMetadata facts) {
+    LocalResponder(GatewayCore core, CallerExchange exchange, RequestMetadata metadata) {
         this.core = core;
         this.exchange = exchange;
-        this.facts = facts;
+        this.metadata = metadata;
     }
 
     /**
@@ -40,7 +40,7 @@
      *     none. The header holds this delay with random jitter added.
      */
     void respond(ErrorKind kind, double retrySeconds) {
-        HttpHeaders headers = core.dialect().ownAnswer(facts);
+        HttpHeaders headers = core.dialect().ownAnswer(metadata);
         if (retrySeconds > 0 && kind.repeat() != Repeat.NEVER) {
             double jitter = Math.min(retrySeconds, MAX_JITTER_SECONDS) * core.random();
             headers.set(
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -26,10 +26,10 @@
      * Builds the headers of a request that is forwarded to a target.
      *
      * @param headers The caller's headers.
-     * @param facts The values that the gateway adds.
+     * @param metadata The values that the gateway adds.
      * @return The headers, without the hop-by-hop headers of the caller's connection.
      */
-    HttpHeaders forTarget(HttpHeaders headers, ForwardMetadata facts);
+    HttpHeaders forTarget(HttpHeaders headers, ForwardMetadata metadata);
 
     /**
      * Builds the headers of a target's response that is forwarded to a caller.
@@ -42,19 +42,19 @@
     /**
      * Builds the headers of a response that the gateway generates itself.
      *
-     * @param facts The metadata of the caller's request.
+     * @param metadata The metadata of the caller's request.
      * @return The headers.
      */
-    HttpHeaders ownAnswer(RequestMetadata facts);
+    HttpHeaders ownAnswer(RequestMetadata metadata);
 
     /**
      * Tells whether a response belongs to a request.
      *
      * @param answer The response's head.
-     * @param facts The metadata of the caller's request.
+     * @param metadata The metadata of the caller's request.
      * @return {@code true} if the response belongs to the request.
      */
-    boolean belongs(HttpResponse answer, RequestMetadata facts);
+    boolean belongs(HttpResponse answer, RequestMetadata metadata);
 
     /**
      * Tells whether a response states that the request was not run.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -67,7 +67,7 @@
 
     private final CallerExchange exchange;
 
-    private final RequestMetadata facts;
+    private final RequestMetadata metadata;
 
     private final long arrivedMillis;
 
@@ -113,10 +113,10 @@
     RequestDispatch(GatewayCore core, CallerExchange exchange) {
         this.core = core;
         this.exchange = exchange;
-        this.facts = core.dialect().read(exchange.request().headers());
+        this.metadata = core.dialect().read(exchange.request().headers());
         this.arrivedMillis = exchange.request().arrivedMillis();
         this.relay = new ResponseRelay(core, exchange);
-        this.localResponder = new LocalResponder(core, exchange, facts);
+        this.localResponder = new LocalResponder(core, exchange, metadata);
     }
 
     /** Starts the dispatch, or refuses the request at once. */
@@ -135,7 +135,7 @@
             respond(ErrorKind.NOT_READY, RETRY_CAPACITY_SECONDS);
             return;
         }
-        Optional<Route> found = core.routes().find(facts.host(), exchange.request().path());
+        Optional<Route> found = core.routes().find(metadata.host(), exchange.request().path());
         if (found.isEmpty()) {
             respond(ErrorKind.UNKNOWN_PATH, 0);
             return;
@@ -143,7 +143,9 @@
         route = found.get();
         if (configuration.get().keyed() && !route.anonymous()) {
             organisation =
-                    facts.key().map(configuration.get().keys()::get).map(OrganisationTerms::name);
+                    metadata.key()
+                            .map(configuration.get().keys()::get)
+                            .map(OrganisationTerms::name);
             if (organisation.isEmpty()) {
                 respond(ErrorKind.UNAUTHENTICATED, 0);
                 return;
@@ -154,7 +156,8 @@
 
     /** Accepts a request whose route and organisation are known, and tries to send it. */
     private void accept(GatewayConfiguration configuration) {
-        long timeout = Math.min(route.timeoutMillis(), facts.waitMillis().orElse(Long.MAX_VALUE));
+        long timeout =
+                Math.min(route.timeoutMillis(), metadata.waitMillis().orElse(Long.MAX_VALUE));
         deadlineMillis = arrivedMillis + timeout;
         exchange.onLeave(this::callerDisconnected);
         deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
@@ -177,10 +180,10 @@
      */
     private Optional<EngineRouting> engineRouting(GatewayConfiguration configuration) {
         Optional<EngineTerms> terms = configuration.service(service).flatMap(ServiceTerms::engine);
-        if (terms.isEmpty() || facts.generation().isEmpty()) {
+        if (terms.isEmpty() || metadata.generation().isEmpty()) {
             return Optional.empty();
         }
-        GenerationMetadata generation = facts.generation().get();
+        GenerationMetadata generation = metadata.generation().get();
         PromptNeed need =
                 new PromptNeed(
                         organisation.orElse(""),
@@ -213,7 +216,7 @@
      * @return {@code true} if the response belongs to the request.
      */
     boolean belongs(HttpResponse response) {
-        return core.dialect().belongs(response, facts);
+        return core.dialect().belongs(response, metadata);
     }
 
     /** Sends the request if a target has capacity, else queues or refuses it. */
@@ -330,9 +333,9 @@
                         exchange.request().headers(),
                         new ForwardMetadata(
                                 id,
-                                facts.waitMillis().map(stated -> Math.max(1, leftMillis())),
+                                metadata.waitMillis().map(stated -> Math.max(1, leftMillis())),
                                 organisation,
-                                relay.lastEventId().or(facts::lastEventId),
+                                relay.lastEventId().or(metadata::lastEventId),
                                 copyFrom.map(each -> each.target().address())));
     }
 
@@ -629,7 +632,7 @@
     }
 
     private String requestId() {
-        return facts.requestId().orElse("");
+        return metadata.requestId().orElse("");
     }
 
     private static String targetId(SendAttempt of) {
