--- a/src/main/java/org/martenwell/gateway/AnswerNotice.java
+++ b/src/main/java/org/martenwell/gateway/AvailabilityNotice.java
@@ -7,4 +7,4 @@
  * @param restMillis The time for which the target asks this gateway to send nothing, in
  *     milliseconds, or 0.
  */
-public record AnswerNotice(boolean leaving, long restMillis) {}
+public record AvailabilityNotice(boolean leaving, long restMillis) {}
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -71,7 +71,7 @@
      * @param dayMillis The wall-clock time, in milliseconds since the epoch.
      * @return The target's availability.
      */
-    AnswerNotice notice(HttpResponse answer, long dayMillis);
+    AvailabilityNotice notice(HttpResponse answer, long dayMillis);
 
     /**
      * Returns the path at which a target lists its cached prompt parts.
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetNotices.java
@@ -59,7 +59,7 @@
 
     @Override
     public void answered(TargetLoad target, HttpResponse head) {
-        AnswerNotice notice = dialect.notice(head, clock.millis());
+        AvailabilityNotice notice = dialect.notice(head, clock.millis());
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
         if (notice.leaving() && availability.leave(NoticeSource.ANSWER, now)) {
