--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -12,7 +12,7 @@
  * Long poll of one engine for changes of its prompt cache. Changes arrive late and some are lost,
  * so they correct the gateway's assumptions about the cache rather than replace them.
  */
-final class FollowedEngine {
+final class CacheChangePoller {
 
     /** The longest time that an engine may hold a call while nothing changes, in milliseconds. */
     private static final long POLL_WAIT_MILLIS = 1_000;
@@ -39,7 +39,7 @@
 
     private boolean closed;
 
-    private FollowedEngine(GatewayCore core, KnownTarget target) {
+    private CacheChangePoller(GatewayCore core, KnownTarget target) {
         this.core = core;
         this.target = target;
         this.caller = core.targets().caller(target);
@@ -52,8 +52,8 @@
      * @param target The engine.
      * @return The poll, which runs until {@link #close}.
      */
-    static FollowedEngine open(GatewayCore core, KnownTarget target) {
-        FollowedEngine engine = new FollowedEngine(core, target);
+    static CacheChangePoller open(GatewayCore core, KnownTarget target) {
+        CacheChangePoller engine = new CacheChangePoller(core, target);
         engine.poll();
         return engine;
     }
--- a/src/main/java/org/martenwell/gateway/KeptPartsFollower.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsFollower.java
@@ -21,7 +21,7 @@
     private final LivePeers live;
 
     /** The engines that are followed, by id. */
-    private final Map<String, FollowedEngine> followed = new HashMap<>();
+    private final Map<String, CacheChangePoller> followed = new HashMap<>();
 
     /** Whether nothing is followed any more. */
     private boolean stopped;
@@ -46,7 +46,7 @@
     @Override
     public Promise<Void> stop() {
         stopped = true;
-        followed.values().forEach(FollowedEngine::close);
+        followed.values().forEach(CacheChangePoller::close);
         followed.clear();
         return Promise.complete();
     }
@@ -71,7 +71,7 @@
         followed.entrySet().removeIf(each -> ended(each.getKey(), each.getValue(), due));
         due.forEach(
                 (id, target) ->
-                        followed.computeIfAbsent(id, key -> FollowedEngine.open(core, target)));
+                        followed.computeIfAbsent(id, key -> CacheChangePoller.open(core, target)));
         lookLater();
     }
 
@@ -84,7 +84,8 @@
      * @param due The engines to follow.
      * @return {@code true} if it is no longer followed.
      */
-    private static boolean ended(String id, FollowedEngine engine, Map<String, KnownTarget> due) {
+    private static boolean ended(
+            String id, CacheChangePoller engine, Map<String, KnownTarget> due) {
         if (due.containsKey(id) && engine.follows(due.get(id))) {
             return false;
         }
