--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -64,7 +64,7 @@
         table =
                 new TargetTable(
                         Eventloop.builder().withTimeProvider(() -> now).withCurrentThread().build(),
-                        new EndedTargets(target -> {}));
+                        new TargetEndListener(target -> {}));
     }
 
     private void step(Random random, String id) {
--- a/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -40,7 +40,7 @@
                     thread.loop(), (suspect, incarnation) -> crashed.add(incarnation));
 
     private final TargetTable table =
-            new TargetTable(thread.loop(), new EndedTargets(detector::targetCrashed));
+            new TargetTable(thread.loop(), new TargetEndListener(detector::targetCrashed));
 
     @AfterEach
     void stop() {
--- a/src/test/java/org/martenwell/gateway/EndedTargets.java
+++ b/src/test/java/org/martenwell/gateway/TargetEndListener.java
@@ -6,7 +6,7 @@
 import org.martenwell.balance.TargetLoad;
 
 /** Listener that forwards only the end of targets, for tests. */
-record EndedTargets(Consumer<KnownTarget> ended) implements TargetTableListener {
+record TargetEndListener(Consumer<KnownTarget> ended) implements TargetTableListener {
 
     @Override
     public void ended(KnownTarget target) {
--- a/src/test/java/org/martenwell/gateway/TargetTableTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetTableTest.java
@@ -24,7 +24,7 @@
     private final TargetTable table =
             new TargetTable(
                     Eventloop.builder().withCurrentThread().build(),
-                    new EndedTargets(target -> {}));
+                    new TargetEndListener(target -> {}));
 
     @BeforeEach
     void start() {
