--- a/src/main/java/org/martenwell/gateway/LocalResponder.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -40,7 +40,7 @@
      *     none. The header holds this delay with random jitter added.
      */
     void respond(ErrorKind kind, double retrySeconds) {
-        HttpHeaders headers = core.dialect().ownAnswer(metadata);
+        HttpHeaders headers = core.dialect().localResponse(metadata);
         if (retrySeconds > 0 && kind.repeat() != Repeat.NEVER) {
             double jitter = Math.min(retrySeconds, MAX_JITTER_SECONDS) * core.random();
             headers.set(
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -45,7 +45,7 @@
      * @param metadata The metadata of the caller's request.
      * @return The headers.
      */
-    HttpHeaders ownAnswer(RequestMetadata metadata);
+    HttpHeaders localResponse(RequestMetadata metadata);
 
     /**
      * Tells whether a response belongs to a request.
