--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -170,7 +170,7 @@
      *
      * @param target The target.
      */
-    void targetEnded(KnownTarget target) {
+    void targetCrashed(KnownTarget target) {
         crashDetector.targetCrashed(target);
     }
 
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -418,7 +418,7 @@
         core.log().attemptFailed(requestId(), targetId(from), misdirected ? "other" : "full");
         engines.ifPresent(EngineRouting::rollBackSent);
         if (misdirected) {
-            core.harmful().targetEnded(from.target());
+            core.harmful().targetCrashed(from.target());
         }
         from.target()
                 .load()
@@ -446,7 +446,7 @@
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
             from.target().load().health().notReached(core.now());
             if (failure == AnswerFailure.REFUSED) {
-                core.harmful().targetEnded(from.target());
+                core.harmful().targetCrashed(from.target());
             }
             retryUnreachable();
             return;
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetNotices.java
@@ -49,7 +49,7 @@
 
     @Override
     public void ended(KnownTarget target) {
-        harmful.targetEnded(target);
+        harmful.targetCrashed(target);
     }
 
     @Override
