--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -101,7 +101,7 @@
      *
      * @param listener The callback, which runs for each new crash of a target.
      */
-    void onNews(Runnable listener) {
+    void onNewCrash(Runnable listener) {
         newsListener = listener;
     }
 
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -123,7 +123,7 @@
 
     @Override
     public Promise<Void> start() {
-        core.harmful().onNews(this::reportSoon);
+        core.harmful().onNewCrash(this::reportSoon);
         reportLater();
         reactor.delayBackground(SWEEP_MILLIS, this::sweep);
         return network.start();
