--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -217,7 +217,7 @@
      * @param incarnation The target's incarnation.
      * @param millis The length of the pause, in milliseconds.
      */
-    void resting(String incarnation, long millis) {
+    void pauseRequested(String incarnation, long millis) {
         metrics.counter("targets_resting").inc();
         if (mayWrite()) {
             write(LogEvent.of("target-rests").with("target", incarnation).with("millis", millis));
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetNotices.java
@@ -66,7 +66,7 @@
             leaves(target.target().life(), NoticeSource.ANSWER);
         }
         if (notice.restMillis() > 0 && availability.rest(notice.restMillis(), now)) {
-            log.resting(target.target().life(), notice.restMillis());
+            log.pauseRequested(target.target().life(), notice.restMillis());
         }
     }
 }
