--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -53,9 +53,9 @@
      * @return The poll, which runs until {@link #close}.
      */
     static CacheChangePoller open(GatewayCore core, KnownTarget target) {
-        CacheChangePoller engine = new CacheChangePoller(core, target);
-        engine.poll();
-        return engine;
+        CacheChangePoller poller = new CacheChangePoller(core, target);
+        poller.poll();
+        return poller;
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -163,9 +163,11 @@
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        PromptKeepers keepers = PromptKeepers.of(need.chain(), allowed, copySources(open, allowed));
-        double unseen = core.unseen().perTarget(open.size(), now);
-        return chooser.choose(need, tier, candidates, keepers, engine, rate, unseen, now);
+        PromptKeepers cacheLookup =
+                PromptKeepers.of(need.chain(), allowed, copySources(open, allowed));
+        double unreportedWork = core.unseen().perTarget(open.size(), now);
+        return chooser.choose(
+                need, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
     }
 
     /**
@@ -274,10 +276,10 @@
      * @return The choice, with an unlimited backlog.
      */
     private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> open) {
-        PromptKeepers keepers =
+        PromptKeepers cacheLookup =
                 PromptKeepers.of(need.chain(), open, core.targets().leaving(service));
-        Optional<TargetLoad> source = engine.copies() ? keepers.source(load) : Optional.empty();
-        long cachedTokens = source.isPresent() ? keepers.most() : keepers.keptTokens(load);
+        Optional<TargetLoad> source = engine.copies() ? cacheLookup.source(load) : Optional.empty();
+        long cachedTokens = source.isPresent() ? cacheLookup.most() : cacheLookup.keptTokens(load);
         return new EngineChoice(load, need.promptTokens() - cachedTokens, Double.MAX_VALUE, source);
     }
 }
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -61,7 +61,7 @@
     private Set<Fingerprint> stored = Set.of();
 
     /** The callback that sends updates to peers without delay. */
-    private Runnable newsListener = () -> {};
+    private Runnable crashListener = () -> {};
 
     /** The directory that stores quarantined requests, empty until it is set. */
     private Optional<FleetDirectory> directory = Optional.empty();
@@ -102,7 +102,7 @@
      * @param listener The callback, which runs for each new crash of a target.
      */
     void onNewCrash(Runnable listener) {
-        newsListener = listener;
+        crashListener = listener;
     }
 
     /**
@@ -259,7 +259,7 @@
             summaries.remove(summaries.keySet().iterator().next());
         }
         if (quarantine.ended(fingerprint, incarnation, reactor.currentTimeMillis())) {
-            newsListener.run();
+            crashListener.run();
         }
         log.suspected(suspect, incarnation, quarantine.lives(fingerprint).size());
     }
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -50,28 +50,28 @@
     /**
      * Tells whether a response belongs to a request.
      *
-     * @param answer The response's head.
+     * @param response The response's head.
      * @param metadata The metadata of the caller's request.
      * @return {@code true} if the response belongs to the request.
      */
-    boolean belongs(HttpResponse answer, RequestMetadata metadata);
+    boolean belongs(HttpResponse response, RequestMetadata metadata);
 
     /**
      * Tells whether a response states that the request was not run.
      *
-     * @param answer The response's head.
+     * @param response The response's head.
      * @return {@code true} if the target did not run the request.
      */
-    boolean notRun(HttpResponse answer);
+    boolean notRun(HttpResponse response);
 
     /**
      * Reads a target's availability from a response.
      *
-     * @param answer The response's head.
+     * @param response The response's head.
      * @param dayMillis The wall-clock time, in milliseconds since the epoch.
      * @return The target's availability.
      */
-    AvailabilityNotice notice(HttpResponse answer, long dayMillis);
+    AvailabilityNotice notice(HttpResponse response, long dayMillis);
 
     /**
      * Returns the path at which a target lists its cached prompt parts.
@@ -109,8 +109,8 @@
     /**
      * Tells whether a response was produced by a target rather than corrupted in transit.
      *
-     * @param answer The response's head.
+     * @param response The response's head.
      * @return {@code true} if the response carries the header that every target sets.
      */
-    boolean genuine(HttpResponse answer);
+    boolean genuine(HttpResponse response);
 }
