--- a/src/main/java/org/martenwell/gateway/ConfigurationCatchUp.java
+++ b/src/main/java/org/martenwell/gateway/ConfigurationCatchUp.java
@@ -1,51 +1,53 @@
 package org.martenwell.gateway;
 
 /**
- * Decides when to ask a peer for a configuration that is newer than the one in force. The store
- * usually tells it first, so peers are asked only behind a head start, and one at a time: a change
- * that all peers report must not bring its document from each of them.
+ * Decides when to request a newer configuration from a peer. The store usually delivers it first,
+ * so requests start after a grace period, and to one peer at a time, so that a new version reported
+ * by all peers isn't fetched from each of them.
  */
 final class ConfigurationCatchUp {
 
-    /** How long the store may take to tell a version that a peer has, in milliseconds. */
-    private static final long HEAD_START_MILLIS = 120;
+    /** How long the store may take to deliver a version that a peer reported, in milliseconds. */
+    private static final long STORE_GRACE_MILLIS = 120;
 
-    /** How long a peer may take to answer before another is asked, in milliseconds. */
-    private static final long ANSWER_MILLIS = 200;
+    /** How long a peer may take to respond before another is asked, in milliseconds. */
+    private static final long ANSWER_TIMEOUT_MILLIS = 200;
 
-    /** The newest version that a peer told. */
-    private long newest;
+    /** The newest version that a peer reported. */
+    private long newestReported;
 
-    /** When a version above the one in force was first told, in milliseconds. */
-    private long newerSinceMillis = Long.MAX_VALUE;
+    /**
+     * The time at which a version newer than the active one was first reported, in milliseconds.
+     */
+    private long newerReportedMillis = Long.MAX_VALUE;
 
-    /** When a peer was last asked, in milliseconds. */
-    private long askedMillis = Long.MIN_VALUE / 2;
+    /** The time of the last request, in milliseconds. */
+    private long lastRequestMillis = Long.MIN_VALUE / 2;
 
-    /** Creates a catch-up that has heard nothing. */
+    /** Creates an instance without any reported version. */
     ConfigurationCatchUp() {}
 
     /**
-     * Notes which version a peer has in force.
+     * Processes the version that a peer reports.
      *
-     * @param told The peer's version.
-     * @param present The version in force here, 0 if none is known.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if that peer should be asked for its configuration now.
+     * @param peerVersion The version that is active at the peer.
+     * @param ownVersion The version that is active here, 0 if there is none.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the configuration should be requested from that peer now.
      */
-    boolean heard(long told, long present, long now) {
-        if (told <= present) {
+    boolean shouldRequest(long peerVersion, long ownVersion, long now) {
+        if (peerVersion <= ownVersion) {
             return false;
         }
-        if (newest <= present || newerSinceMillis == Long.MAX_VALUE) {
-            newerSinceMillis = now;
+        if (newestReported <= ownVersion || newerReportedMillis == Long.MAX_VALUE) {
+            newerReportedMillis = now;
         }
-        newest = Math.max(newest, told);
-        long headStart = present == 0 ? 0 : HEAD_START_MILLIS;
-        if (now - newerSinceMillis < headStart || now - askedMillis < ANSWER_MILLIS) {
+        newestReported = Math.max(newestReported, peerVersion);
+        long grace = ownVersion == 0 ? 0 : STORE_GRACE_MILLIS;
+        if (now - newerReportedMillis < grace || now - lastRequestMillis < ANSWER_TIMEOUT_MILLIS) {
             return false;
         }
-        askedMillis = now;
+        lastRequestMillis = now;
         return true;
     }
 }
--- a/src/main/java/org/martenwell/gateway/Deployment.java
+++ b/src/main/java/org/martenwell/gateway/Deployment.java
@@ -8,46 +8,39 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.settings.GatewaySettings;
 
-/** What a gateway runs on: the formats of its callers and targets and its directory. */
+/**
+ * The environment that a gateway runs in: the HTTP formats of callers and targets, and the
+ * directory service. Implementations are found by {@link ServiceLoader}.
+ */
 public interface Deployment {
 
-    /**
-     * Returns the name by which settings choose the deployment.
-     *
-     * @return The name.
-     */
+    /** {@return the name that selects this deployment in the settings} */
     String name();
 
-    /**
-     * Returns the path at which the balancer asks whether the gateway is ready.
-     *
-     * @return The path.
-     */
+    /** {@return the HTTP path of the readiness check of the load balancer} */
     String readinessPath();
 
-    /**
-     * Returns the formats of callers and targets.
-     *
-     * @return The formats.
-     */
+    /** {@return the HTTP formats of callers and targets} */
     RequestDialect dialect();
 
     /**
-     * Creates the directory.
+     * Creates the client of the directory service.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param settings The gateway's settings.
-     * @param listener Is told of what the directory holds.
-     * @return The directory, not started.
+     * @param listener Receives the contents of the directory and their changes.
+     * @return The client, not started.
      */
     FleetDirectory directory(
             NioReactor reactor, GatewaySettings settings, DirectoryListener listener);
 
     /**
-     * Finds a deployment, or throws an exception of the kind {@link ErrorKind#INVALID_DOCUMENT}.
+     * Finds a deployment by name.
      *
-     * @param name The name.
+     * @param name The name of the deployment.
      * @return The deployment.
+     * @throws MartenwellException of the kind {@link ErrorKind#INVALID_DOCUMENT} if there is none
+     *     of that name.
      */
     static Deployment named(String name) {
         for (Deployment each : ServiceLoader.load(Deployment.class)) {
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -23,98 +23,87 @@
 import org.martenwell.settings.GatewaySettings;
 import org.martenwell.share.FairShares;
 
-/** What all requests of a gateway share. */
+/** The state that all requests of a gateway share. */
 final class GatewayCore {
 
-    /** What part of an engine's memory holds shared parts at least: one in so many. */
-    private static final int LEAST_KEPT_PART = 5;
+    /** The divisor of an engine's memory that gives the least size of its prompt cache. */
+    private static final int MIN_CACHE_DIVISOR = 5;
 
-    /** The most placed parts that wait to be told to peers. */
-    private static final int MAX_PLACED = 8_000;
+    /** The most changes of prompt caches that are queued for the next report to peers. */
+    private static final int MAX_PENDING_PARTS = 8_000;
 
-    /** How many milliseconds a second has. */
-    private static final double SECOND_MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The formats of callers and targets. */
     private final RequestDialect dialect;
 
-    /** The targets. */
     private final TargetTable targets;
 
-    /** Fair shares. */
     private final FairShares shares;
 
-    /** The length of the window of fair shares, in milliseconds. */
+    /** The length of the fair-share window, in milliseconds. */
     private final long shareWindowMillis;
 
-    /** Chooses engines. */
+    /** Selects an engine for each generation request. */
     private final EngineChooser engines;
 
-    /** Estimates what peers put on engines since they last told of it. */
+    /** Estimates the load that peers put on engines since their last reports. */
     private final UnseenWork unseen = new UnseenWork();
 
-    /** Keeps engines for requests within fair shares. */
+    /** Reserves engines for requests within fair shares. */
     private final EngineReserve reserve = new EngineReserve();
 
-    /** Chooses targets of plain services. */
+    /** Selects a target for each request to a plain service. */
     private final ServiceChooser services;
 
-    /** Bounds retries. */
+    /** Limits retries to a fraction of the fleet's requests. */
     private final FleetRetryBudget retries;
 
-    /** Spreads choices. */
+    /** Randomizes balancing, retry and refusal decisions. */
     private final Random random;
 
-    /** Requests that wait for an engine. */
     private final EngineQueue queue;
 
-    /** Counts and logs what becomes of requests. */
     private final GatewayLog log;
 
-    /** The configuration in force or {@code null}. */
+    /** The active configuration, {@code null} before the first one arrives. */
     private GatewayConfiguration configuration;
 
-    /** The routes in force. */
+    /** The routes of the active configuration. */
     private RouteTable routes = new RouteTable(List.of());
 
-    /** The parts that targets keep since the last report to peers. */
+    /** The changes of prompt caches since the last report to peers. */
     private List<PlacedPart> placed = new ArrayList<>();
 
-    /** The parts that requests have shared. */
     private final SharedKeys sharedKeys = new SharedKeys();
 
-    /** Tells requests that are the same. */
+    /** Computes the fingerprints by which gateways recognize identical requests. */
     private final FingerprintFunction fingerprints;
 
-    /** Holds back requests under which targets end. */
     private final HarmfulRequests harmful;
 
-    /** How many gateways the fleet has. */
+    /** The number of gateways in the fleet, including this one. */
     private int members = 1;
 
-    /** How many requests are being served. */
-    private int serving;
+    /** The number of requests in progress. */
+    private int activeRequests;
 
-    /** Notices that the heap is nearly full. */
     private final HeapWatch heap;
 
-    /** Notices that the loop is behind. */
     private final LoopPressure pressure;
 
-    /** Whether new requests are refused, because the gateway is about to end. */
+    /** Set shortly before the gateway exits, when new requests are refused. */
     private boolean closing;
 
     /**
-     * Creates a core that knows no configuration.
+     * Creates the state of a gateway without a configuration.
      *
-     * @param reactor The loop.
-     * @param dialect The formats of callers and targets.
+     * @param reactor The event loop.
+     * @param dialect The HTTP formats of callers and targets.
      * @param settings The gateway's settings.
-     * @param random Spreads choices.
-     * @param log Counts and logs what becomes of requests.
+     * @param random Randomizes balancing, retry and refusal decisions.
+     * @param log Receives metrics and log events.
      */
     GatewayCore(
             NioReactor reactor,
@@ -149,7 +138,7 @@
     }
 
     /**
-     * Puts a configuration in force.
+     * Activates a configuration.
      *
      * @param changed The configuration.
      */
@@ -158,190 +147,119 @@
         routes = new RouteTable(changed.routes());
     }
 
-    /**
-     * Returns the configuration in force.
-     *
-     * @return The configuration or empty if none is known.
-     */
+    /** {@return the active configuration, empty before the first one arrives} */
     Optional<GatewayConfiguration> configuration() {
         return Optional.ofNullable(configuration);
     }
 
-    /**
-     * Returns the version of the configuration in force.
-     *
-     * @return The version, 0 if none is known.
-     */
+    /** {@return the version of the active configuration, 0 if there is none} */
     long version() {
         return configuration == null ? 0 : configuration.version();
     }
 
-    /**
-     * Returns the routes in force.
-     *
-     * @return The routes.
-     */
+    /** {@return the routes of the active configuration} */
     RouteTable routes() {
         return routes;
     }
 
-    /**
-     * Returns the loop.
-     *
-     * @return The loop.
-     */
+    /** {@return the event loop} */
     NioReactor reactor() {
         return reactor;
     }
 
-    /**
-     * Returns the present time.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the event loop's current time, in milliseconds} */
     long now() {
         return reactor.currentTimeMillis();
     }
 
-    /**
-     * Returns the formats of callers and targets.
-     *
-     * @return The formats.
-     */
+    /** {@return the HTTP formats of callers and targets} */
     RequestDialect dialect() {
         return dialect;
     }
 
-    /**
-     * Returns the targets.
-     *
-     * @return The targets.
-     */
+    /** {@return the table of known targets} */
     TargetTable targets() {
         return targets;
     }
 
-    /**
-     * Returns fair shares.
-     *
-     * @return The shares.
-     */
+    /** {@return the fair-share accounts of organisations} */
     FairShares shares() {
         return shares;
     }
 
     /**
-     * Returns what the fleet produces in a window of fair shares.
-     *
-     * @return The capacity in tokens; infinite if the configuration does not say.
+     * {@return the fleet's capacity per fair-share window, in tokens; infinite if the configuration
+     * sets none}
      */
     double windowTokens() {
         long promised = promisedTokens();
         return promised == 0
                 ? Double.POSITIVE_INFINITY
-                : promised * (shareWindowMillis / SECOND_MILLIS);
+                : promised * (shareWindowMillis / MILLIS_PER_SECOND);
     }
 
     /**
-     * Returns what the fleet is promised to produce.
-     *
-     * @return The capacity in tokens a second, 0 if the configuration does not say.
+     * {@return the fleet's configured capacity in tokens per second, 0 if the configuration sets
+     * none}
      */
     private long promisedTokens() {
         return configuration().map(GatewayConfiguration::tokensPerSecond).orElse(0L);
     }
 
-    /**
-     * Returns the chooser of engines.
-     *
-     * @return The chooser.
-     */
+    /** {@return the selector of engines} */
     EngineChooser engines() {
         return engines;
     }
 
-    /**
-     * Returns what estimates the work that peers put on engines unseen.
-     *
-     * @return The estimate.
-     */
+    /** {@return the estimate of the load that peers put on engines since their last reports} */
     UnseenWork unseen() {
         return unseen;
     }
 
-    /**
-     * Returns what keeps engines for requests within fair shares.
-     *
-     * @return The reserve.
-     */
+    /** {@return the reservation of engines for requests within fair shares} */
     EngineReserve reserve() {
         return reserve;
     }
 
     /**
-     * Returns what organisations ask within their fair shares.
-     *
-     * @return The tokens of capacity a millisecond, 0 if the configuration promises no capacity.
+     * {@return the demand of organisations within their fair shares, in tokens of capacity per
+     * millisecond; 0 if the configuration sets no capacity}
      */
     double tokensWithinShares() {
-        return promisedTokens() * shares.askedWithin() / SECOND_MILLIS;
+        return promisedTokens() * shares.askedWithin() / MILLIS_PER_SECOND;
     }
 
-    /**
-     * Returns the chooser of targets of plain services.
-     *
-     * @return The chooser.
-     */
+    /** {@return the selector of targets of plain services} */
     ServiceChooser services() {
         return services;
     }
 
-    /**
-     * Returns the queue of requests that wait for an engine.
-     *
-     * @return The queue.
-     */
+    /** {@return the queue of requests that wait for an engine} */
     EngineQueue queue() {
         return queue;
     }
 
-    /**
-     * Returns what counts and logs what becomes of requests.
-     *
-     * @return The log.
-     */
+    /** {@return the metrics and the event log} */
     GatewayLog log() {
         return log;
     }
 
-    /**
-     * Returns a random number.
-     *
-     * @return The number, from 0 (inclusive) to 1 (exclusive).
-     */
+    /** {@return a random number from 0 (inclusive) to 1 (exclusive)} */
     double random() {
         return random.nextDouble();
     }
 
-    /**
-     * Returns what tells requests that are the same.
-     *
-     * @return The function.
-     */
+    /** {@return the function that computes the fingerprints of requests} */
     FingerprintFunction fingerprints() {
         return fingerprints;
     }
 
-    /**
-     * Returns what holds back requests under which targets end.
-     *
-     * @return What does.
-     */
+    /** {@return the quarantine of requests that crash targets} */
     HarmfulRequests harmful() {
         return harmful;
     }
 
-    /** Counts a request that is sent for the first time. */
+    /** Counts a first attempt, which adds to the retry budget. */
     void countFresh() {
         retries.countFresh(now());
     }
@@ -349,46 +267,38 @@
     /**
      * Takes a retry from the budget.
      *
-     * @return {@code true} if it is allowed.
+     * @return {@code true} if the retry is allowed.
      */
     boolean takeRetry() {
         return retries.takeRetry(members, now());
     }
 
     /**
-     * Changes the fleet.
+     * Updates the size of the fleet, on which the retry budget and the load estimates depend.
      *
-     * @param count How many gateways it has, this one among them.
-     * @param ageMillis How old what they tell of each other is on average, in milliseconds.
+     * @param count The number of gateways, including this one.
+     * @param ageMillis The mean age of what is known of peers, in milliseconds.
      */
-    void fleet(int count, double ageMillis) {
+    void updateFleet(int count, double ageMillis) {
         members = count;
         unseen.fleet(count - 1, ageMillis);
     }
 
-    /**
-     * Returns how many gateways the fleet has.
-     *
-     * @return The number of gateways, this one among them.
-     */
+    /** {@return the number of gateways in the fleet, including this one} */
     int members() {
         return members;
     }
 
-    /**
-     * Returns the parts that requests have shared.
-     *
-     * @return The keys.
-     */
+    /** {@return the keys of prompt parts that several requests share} */
     SharedKeys sharedKeys() {
         return sharedKeys;
     }
 
     /**
-     * Notes that a target keeps the parts of a prompt.
+     * Queues all parts of a prompt for the next report to peers, as cached by a target.
      *
-     * @param target The target's life.
-     * @param chain The parts.
+     * @param target The target's incarnation.
+     * @param chain The shared parts of the prompt.
      */
     void placed(String target, PromptChain chain) {
         for (int index = 0; index < chain.length(); index++) {
@@ -397,20 +307,21 @@
     }
 
     /**
-     * Notes that a target keeps a part.
+     * Queues a change of a target's prompt cache for the next report to peers. Dropped if the queue
+     * is full.
      *
-     * @param part The part.
+     * @param part The part that is cached or no longer cached.
      */
     void placed(PlacedPart part) {
-        if (placed.size() < MAX_PLACED) {
+        if (placed.size() < MAX_PENDING_PARTS) {
             placed.add(part);
         }
     }
 
     /**
-     * Returns how many tokens of shared parts an engine keeps beside what it runs.
+     * Returns the capacity of an engine's prompt cache, next to the requests that it runs.
      *
-     * @param load The engine.
+     * @param load The target.
      * @return The capacity in tokens, 0 for a target of a plain service.
      */
     long keptCapacity(TargetLoad load) {
@@ -422,21 +333,22 @@
     }
 
     /**
-     * Returns how many tokens of shared parts an engine keeps beside what it runs.
+     * Returns the capacity of an engine's prompt cache: the memory that running requests leave
+     * free, but at least a fixed fraction of all.
      *
-     * @param engine What it holds.
+     * @param engine The engine's configured limits.
      * @param load The engine.
      * @return The capacity in tokens.
      */
     private long keptCapacity(EngineTerms engine, TargetLoad load) {
         long free = engine.memoryTokens() - load.all(now()).memoryTokens();
-        return Math.max(engine.memoryTokens() / LEAST_KEPT_PART, free);
+        return Math.max(engine.memoryTokens() / MIN_CACHE_DIVISOR, free);
     }
 
     /**
-     * Takes the parts that targets keep since the last call.
+     * Removes and returns the queued changes of prompt caches.
      *
-     * @return The parts.
+     * @return The changes since the last call.
      */
     List<PlacedPart> takePlaced() {
         List<PlacedPart> taken = placed;
@@ -444,54 +356,38 @@
         return taken;
     }
 
-    /** Refuses new requests from now on, because the gateway is about to end. */
+    /** Refuses new requests from now on; called shortly before the gateway exits. */
     void close() {
         closing = true;
     }
 
-    /**
-     * Returns what notices that the heap is nearly full.
-     *
-     * @return The watch.
-     */
+    /** {@return the monitor of the heap} */
     HeapWatch heap() {
         return heap;
     }
 
-    /**
-     * Returns what notices that the loop is behind.
-     *
-     * @return The measure.
-     */
+    /** {@return the limiter that refuses requests while the event loop lags} */
     LoopPressure pressure() {
         return pressure;
     }
 
-    /**
-     * Returns whether new requests are refused.
-     *
-     * @return {@code true} if the gateway is about to end.
-     */
+    /** {@return {@code true} if new requests are refused because the gateway is about to exit} */
     boolean closing() {
         return closing;
     }
 
-    /** Notes that a request is being served. */
+    /** Counts a request as in progress. */
     void begin() {
-        serving++;
+        activeRequests++;
     }
 
-    /** Notes that a request is no longer served. */
+    /** Counts a request as finished. */
     void end() {
-        serving--;
+        activeRequests--;
     }
 
-    /**
-     * Returns how many requests are being served.
-     *
-     * @return The number of requests.
-     */
-    int serving() {
-        return serving;
+    /** {@return the number of requests in progress} */
+    int activeRequests() {
+        return activeRequests;
     }
 }
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -25,87 +25,77 @@
 import org.martenwell.service.ManagedService;
 import org.martenwell.settings.GatewaySettings;
 
-/** A gateway: joins its servers, its directory and its peers, and stops in order. */
+/**
+ * The gateway process: starts its servers, its directory client and its peer connections, and shuts
+ * them down gracefully.
+ */
 public final class GatewayDaemon implements ManagedService, DirectoryListener {
 
-    /** How long a balancer may take to notice that the gateway stops, in milliseconds. */
-    private static final long BALANCER_MILLIS = 2_500;
+    /** How long the load balancer may take to notice a failed readiness check, in milliseconds. */
+    private static final long BALANCER_DETECTION_MILLIS = 2_500;
 
-    /** How much sooner than it must the gateway ends, in milliseconds. */
+    /** How long before its deadline a shutdown ends, in milliseconds. */
     private static final long STOP_MARGIN_MILLIS = 500;
 
-    /** How often a stopping gateway looks whether it is done, in milliseconds. */
-    private static final long STOP_LOOK_MILLIS = 50;
+    /** The interval at which a shutdown checks for requests in progress, in milliseconds. */
+    private static final long DRAIN_CHECK_MILLIS = 50;
 
-    /** The type of metrics. */
     private static final String METRICS_TYPE = "text/plain; version=0.0.4";
 
-    /** The status of a gateway that is ready. */
-    private static final int READY = 200;
+    private static final int OK = 200;
 
-    /** The status of a gateway that is not. */
-    private static final int NOT_READY = 503;
+    private static final int UNAVAILABLE = 503;
 
-    /** The status of an unknown path. */
-    private static final int UNKNOWN = 404;
+    private static final int NOT_FOUND = 404;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The settings. */
     private final GatewaySettings settings;
 
-    /** What the gateway runs on. */
     private final Deployment deployment;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** Takes callers' requests. */
     private final CallerServer callers;
 
-    /** Answers the balancer. */
+    /** Serves the readiness check of the load balancer. */
     private final CallerServer readiness;
 
-    /** Answers whoever collects metrics, if there is an address for that. */
+    /** Serves metrics, if the settings name an address for them. */
     private final Optional<CallerServer> metrics;
 
-    /** Talks to peers. */
-    private final PeerReporter peers;
+    /** Exchanges reports with peers. */
+    private final PeerReporter peerReporter;
 
-    /** Tells the configuration, targets and gateways. */
     private final FleetDirectory directory;
 
-    /** Counts and logs. */
     private final GatewayLog log;
 
-    /** Logs what the gateway is short of. */
     private final StateLog state;
 
-    /** Learns what engines keep of prompts. */
+    /** Loads the contents of prompt caches once after the start. */
     private final KeptPartsLoader keptParts;
 
-    /** Follows what engines keep of prompts. */
+    /** Follows the changes of prompt caches. */
     private final KeptPartsFollower keptChanges;
 
-    /** The names of all gateways. */
+    /** The names of all gateways, including this one. */
     private Set<String> gateways = Set.of();
 
-    /** Whether what engines keep was asked for or is about to be. */
-    private boolean keptPartsDue;
+    /** Set once the loading of prompt caches is scheduled. */
+    private boolean keptPartsRequested;
 
-    /** Whether targets are known. */
+    /** Set once the directory has listed the targets. */
     private boolean targetsKnown;
 
-    /** Whether the gateway stops. */
     private boolean stopping;
 
     /**
      * Creates a gateway.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param settings The settings.
-     * @param random Spreads choices.
+     * @param random Randomizes balancing, retry and refusal decisions.
      */
     public GatewayDaemon(NioReactor reactor, GatewaySettings settings, Random random) {
         this.reactor = reactor;
@@ -124,11 +114,11 @@
                 settings.metricsAddress()
                         .map(IpAddress::of)
                         .map(address -> new CallerServer(reactor, address, this::serveMetrics));
-        this.peers = new PeerReporter(reactor, settings, core, random);
+        this.peerReporter = new PeerReporter(reactor, settings, core, random);
         this.directory = deployment.directory(reactor, settings, this);
         this.keptParts = new KeptPartsLoader(core, settings.name());
-        this.keptChanges = new KeptPartsFollower(core, peers.live());
-        peers.directory(directory);
+        this.keptChanges = new KeptPartsFollower(core, peerReporter.live());
+        peerReporter.directory(directory);
         core.harmful().directory(directory);
     }
 
@@ -139,7 +129,7 @@
                 .start()
                 .then(callers::start)
                 .then(() -> metrics.map(CallerServer::start).orElseGet(Promise::complete))
-                .then(peers::start)
+                .then(peerReporter::start)
                 .then(directory::start)
                 .then(keptChanges::start)
                 .then(core.heap()::start)
@@ -158,7 +148,7 @@
                 .then(core.pressure()::stop)
                 .then(core.heap()::stop)
                 .then(directory::stop)
-                .then(peers::stop)
+                .then(peerReporter::stop)
                 .then(callers::stop)
                 .then(() -> metrics.map(CallerServer::stop).orElseGet(Promise::complete))
                 .then(readiness::stop)
@@ -166,39 +156,41 @@
     }
 
     /**
-     * Stops in order: the balancer is told, what is served goes on, and resting connections end.
+     * Shuts down gracefully: fails the readiness check, waits for the load balancer to notice, lets
+     * requests in progress finish, and closes idle connections.
      *
-     * @return Completes once nothing is served or the time is up.
+     * @return Completes when no request is in progress or the time is up.
      */
     public Promise<Void> drain() {
         stopping = true;
-        log.changed("gateway-drain", core.serving());
+        log.changed("gateway-drain", core.activeRequests());
         callers.drain();
         directory.leave();
         SettablePromise<Void> done = new SettablePromise<>();
-        long began = reactor.currentTimeMillis();
-        reactor.delay(STOP_LOOK_MILLIS, () -> lookDrained(began, done));
+        long startMillis = reactor.currentTimeMillis();
+        reactor.delay(DRAIN_CHECK_MILLIS, () -> checkDrained(startMillis, done));
         return done;
     }
 
     /**
-     * Looks whether a stopping gateway is done.
+     * Completes a shutdown that is finished or out of time; otherwise checks again later.
      *
-     * @param began When it began to stop, in milliseconds.
-     * @param done Completed once it is done.
+     * @param startMillis The time at which the shutdown began, in milliseconds.
+     * @param done Completed when the shutdown ends.
      */
-    private void lookDrained(long began, SettablePromise<Void> done) {
-        long passed = reactor.currentTimeMillis() - began;
-        boolean noticed = passed >= Math.min(BALANCER_MILLIS, settings.stopMillis() / 2);
-        boolean late = passed >= settings.stopMillis() - STOP_MARGIN_MILLIS;
-        if (noticed) {
+    private void checkDrained(long startMillis, SettablePromise<Void> done) {
+        long elapsed = reactor.currentTimeMillis() - startMillis;
+        boolean balancerNoticed =
+                elapsed >= Math.min(BALANCER_DETECTION_MILLIS, settings.stopMillis() / 2);
+        boolean timedOut = elapsed >= settings.stopMillis() - STOP_MARGIN_MILLIS;
+        if (balancerNoticed) {
             core.close();
             callers.closeIdle();
         }
-        if (late || (noticed && core.serving() == 0)) {
+        if (timedOut || (balancerNoticed && core.activeRequests() == 0)) {
             done.set(null);
         } else {
-            reactor.delay(STOP_LOOK_MILLIS, () -> lookDrained(began, done));
+            reactor.delay(DRAIN_CHECK_MILLIS, () -> checkDrained(startMillis, done));
         }
     }
 
@@ -207,15 +199,16 @@
         log.changed("configuration", configuration.version());
         core.configure(configuration);
         callers.limit(configuration.limits());
-        peers.document(document);
+        peerReporter.document(document);
         loadKeptParts();
     }
 
-    /** Learns what engines keep of prompts, once the gateway is ready for the first time. */
+    /** Schedules the loading of prompt caches when the gateway is first ready. */
     private void loadKeptParts() {
-        if (!keptPartsDue && ready()) {
-            keptPartsDue = true;
-            reactor.delayBackground(KeptPartsLoader.DELAY_MILLIS, () -> keptParts.load(gateways));
+        if (!keptPartsRequested && ready()) {
+            keptPartsRequested = true;
+            reactor.delayBackground(
+                    KeptPartsLoader.STARTUP_DELAY_MILLIS, () -> keptParts.load(gateways));
         }
     }
 
@@ -236,7 +229,7 @@
     public void members(Map<String, GatewayMember> members) {
         log.changed("members", members.keySet());
         gateways = members.keySet();
-        peers.members(members);
+        peerReporter.members(members);
     }
 
     @Override
@@ -245,16 +238,16 @@
     }
 
     /**
-     * Returns whether the gateway takes new connections.
+     * Returns whether the gateway accepts new connections.
      *
-     * @return {@code true} if it knows the configuration and targets and does not stop.
+     * @return {@code true} if it has a configuration and targets and is not shutting down.
      */
     private boolean ready() {
         return !stopping && targetsKnown && core.configuration().isPresent();
     }
 
     /**
-     * Serves a caller.
+     * Dispatches a caller's request.
      *
      * @param exchange The request.
      */
@@ -263,7 +256,7 @@
     }
 
     /**
-     * Serves metrics.
+     * Responds with all metrics in the Prometheus text format.
      *
      * @param exchange The request.
      */
@@ -271,18 +264,18 @@
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.CONTENT_TYPE, METRICS_TYPE);
         String text = PrometheusText.of(log.metrics());
-        exchange.respond(READY, headers, text.getBytes(StandardCharsets.UTF_8));
+        exchange.respond(OK, headers, text.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * Serves the balancer.
+     * Responds to the readiness check of the load balancer.
      *
      * @param exchange The request.
      */
     private void serveBalancer(CallerExchange exchange) {
-        int status = UNKNOWN;
+        int status = NOT_FOUND;
         if (exchange.request().path().equals(deployment.readinessPath())) {
-            status = ready() ? READY : NOT_READY;
+            status = ready() ? OK : UNAVAILABLE;
         }
         exchange.respond(
                 status, DefaultHttpHeadersFactory.headersFactory().newHeaders(), new byte[0]);
--- a/src/main/java/org/martenwell/gateway/HeapWatch.java
+++ b/src/main/java/org/martenwell/gateway/HeapWatch.java
@@ -11,82 +11,86 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Notices that what is in use nearly fills the heap, so that a gateway refuses new requests then,
- * which other gateways may serve, rather than end and break off all that it serves.
+ * Detects that the heap is nearly full of live objects. The gateway then refuses new requests,
+ * which other gateways may serve, instead of running out of memory and losing all requests in
+ * progress.
  */
 final class HeapWatch implements ManagedService {
 
     /**
-     * How long after the start the heap is looked at first, in milliseconds. Reading its use loads
-     * classes that a start need not wait for.
+     * The delay of the first check after the start, in milliseconds. Reading memory pools loads
+     * classes that would slow the start.
      */
-    private static final long FIRST_MILLIS = 2_000;
+    private static final long INITIAL_DELAY_MILLIS = 2_000;
 
-    /** How often the heap is looked at, in milliseconds; a burst takes seconds to fill it. */
-    private static final long LOOK_MILLIS = 250;
+    /**
+     * The interval of checks, in milliseconds; a burst of requests takes seconds to fill the heap.
+     */
+    private static final long CHECK_INTERVAL_MILLIS = 250;
 
     /**
-     * The part of the heap's old generation above which requests are refused. Requests that are
-     * served already may need the rest.
+     * The occupancy of the old generation from which requests are refused, from 0 to 1. The rest is
+     * left to requests in progress.
      */
-    private static final double NEARLY_FULL = 0.85;
+    private static final double MAX_OCCUPANCY = 0.85;
 
     /**
-     * How often garbage is collected while the heap is nearly full, in milliseconds, since its use
-     * is known only behind a collection, and few come while little is served.
+     * The interval of forced garbage collections while the heap is nearly full, in milliseconds.
+     * Occupancy is only known after a collection, and an idle gateway has few.
      */
-    private static final long COLLECT_MILLIS = 1_000;
+    private static final long GC_INTERVAL_MILLIS = 1_000;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Logs changes. */
     private final GatewayLog log;
 
-    /** Returns which part of the old generation was in use behind its last collection. */
-    private final DoubleSupplier filled;
+    /** Returns the occupancy of the old generation after its last collection, from 0 to 1. */
+    private final DoubleSupplier occupancy;
 
-    /** Collects garbage. */
-    private final Runnable collector;
+    /** Forces a garbage collection. */
+    private final Runnable garbageCollector;
 
-    /** Whether the heap is nearly full. */
     private boolean nearlyFull;
 
-    /** When garbage was last collected on purpose, in milliseconds. */
-    private long collectedMillis = Long.MIN_VALUE / 2;
+    /** The time of the last forced collection, in milliseconds. */
+    private long lastGcMillis = Long.MIN_VALUE / 2;
 
-    /** Whether nothing is looked at any more. */
     private boolean stopped;
 
     /**
-     * Creates a watch.
+     * Creates a monitor.
      *
-     * @param reactor The loop.
-     * @param log Logs changes.
-     * @param filled Returns which part of the old generation was in use behind its last collection.
-     * @param collector Collects garbage.
+     * @param reactor The event loop.
+     * @param log Receives changes of the state.
+     * @param occupancy Returns the occupancy of the old generation after its last collection, from
+     *     0 to 1.
+     * @param garbageCollector Forces a garbage collection.
      */
-    HeapWatch(NioReactor reactor, GatewayLog log, DoubleSupplier filled, Runnable collector) {
+    HeapWatch(
+            NioReactor reactor,
+            GatewayLog log,
+            DoubleSupplier occupancy,
+            Runnable garbageCollector) {
         this.reactor = reactor;
         this.log = log;
-        this.filled = filled;
-        this.collector = collector;
+        this.occupancy = occupancy;
+        this.garbageCollector = garbageCollector;
     }
 
     /**
-     * Creates a watch of this process.
+     * Creates a monitor of this process.
      *
-     * @param reactor The loop.
-     * @param log Logs changes.
-     * @return The watch.
+     * @param reactor The event loop.
+     * @param log Receives changes of the state.
+     * @return The monitor, not started.
      */
     static HeapWatch of(NioReactor reactor, GatewayLog log) {
-        return new HeapWatch(reactor, log, HeapWatch::oldGenerationFilled, System::gc);
+        return new HeapWatch(reactor, log, HeapWatch::oldGenerationOccupancy, System::gc);
     }
 
     @Override
     public Promise<Void> start() {
-        reactor.delayBackground(FIRST_MILLIS, this::look);
+        reactor.delayBackground(INITIAL_DELAY_MILLIS, this::check);
         return Promise.complete();
     }
 
@@ -96,39 +100,35 @@
         return Promise.complete();
     }
 
-    /**
-     * Returns whether the heap is nearly full.
-     *
-     * @return {@code true} if new requests have to be refused.
-     */
+    /** {@return {@code true} if the heap is nearly full and new requests have to be refused} */
     boolean nearlyFull() {
         return nearlyFull;
     }
 
-    /** Looks at the heap. */
-    private void look() {
+    /** Updates the state, after a forced collection if one is due, and schedules the next check. */
+    private void check() {
         if (stopped) {
             return;
         }
         boolean before = nearlyFull;
-        if (before && reactor.currentTimeMillis() - collectedMillis >= COLLECT_MILLIS) {
-            collectedMillis = reactor.currentTimeMillis();
-            collector.run();
+        if (before && reactor.currentTimeMillis() - lastGcMillis >= GC_INTERVAL_MILLIS) {
+            lastGcMillis = reactor.currentTimeMillis();
+            garbageCollector.run();
         }
-        double part = filled.getAsDouble();
-        nearlyFull = part >= NEARLY_FULL;
+        double current = occupancy.getAsDouble();
+        nearlyFull = current >= MAX_OCCUPANCY;
         if (nearlyFull != before) {
-            log.changed(nearlyFull ? "heap-nearly-full" : "heap-has-room", part);
+            log.changed(nearlyFull ? "heap-nearly-full" : "heap-has-room", current);
         }
-        reactor.delayBackground(LOOK_MILLIS, this::look);
+        reactor.delayBackground(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     /**
-     * Returns which part of the old generation was in use behind its last collection.
+     * Reads the occupancy of this process's old generation after its last collection.
      *
-     * @return The part, 0 if there is no such generation or was no collection.
+     * @return The occupancy from 0 to 1; 0 if there is no such generation or was no collection.
      */
-    private static double oldGenerationFilled() {
+    private static double oldGenerationOccupancy() {
         Optional<MemoryPoolMXBean> largest =
                 ManagementFactory.getMemoryPoolMXBeans().stream()
                         .filter(each -> each.getType() == MemoryType.HEAP)
--- a/src/main/java/org/martenwell/gateway/KeptPartsFollower.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsFollower.java
@@ -6,31 +6,29 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Follows what engines keep of prompts. Each engine is followed by one gateway, which tells the
- * others what it did not know already.
+ * Follows the changes of engines' prompt caches. Each engine is followed by one gateway, its owner,
+ * which reports changes to its peers.
  */
 final class KeptPartsFollower implements ManagedService {
 
-    /** How often it is looked which engines to follow, in milliseconds. */
-    private static final long LOOK_MILLIS = 700;
+    /** The interval at which the owned engines are determined, in milliseconds. */
+    private static final long CHECK_INTERVAL_MILLIS = 700;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** Tells which engines this gateway looks after. */
+    /** Determines the engines that this gateway owns. */
     private final LivePeers live;
 
-    /** The engines that are followed, by id. */
+    /** The followed engines by id. */
     private final Map<String, FollowedEngine> followed = new HashMap<>();
 
-    /** Whether nothing is followed any more. */
     private boolean stopped;
 
     /**
-     * Creates a follower.
+     * Creates a follower without engines.
      *
-     * @param core What all requests share.
-     * @param live Tells which engines this gateway looks after.
+     * @param core The gateway's state.
+     * @param live Determines the engines that this gateway owns.
      */
     KeptPartsFollower(GatewayCore core, LivePeers live) {
         this.core = core;
@@ -39,7 +37,7 @@
 
     @Override
     public Promise<Void> start() {
-        lookLater();
+        scheduleCheck();
         return Promise.complete();
     }
 
@@ -51,41 +49,42 @@
         return Promise.complete();
     }
 
-    /** Looks after a while which engines to follow. */
-    private void lookLater() {
-        core.reactor().delayBackground(LOOK_MILLIS, this::look);
+    private void scheduleCheck() {
+        core.reactor().delayBackground(CHECK_INTERVAL_MILLIS, this::check);
     }
 
-    /** Begins and ends following engines. */
-    private void look() {
+    /** Starts following engines that this gateway now owns, and stops following others. */
+    private void check() {
         if (stopped) {
             return;
         }
-        Map<String, KnownTarget> due = new HashMap<>();
+        Map<String, KnownTarget> owned = new HashMap<>();
         for (KnownTarget each : core.targets().all()) {
             String id = each.load().target().id();
-            if (core.keptCapacity(each.load()) > 0 && live.looksAfter(id, core.now())) {
-                due.put(id, each);
+            if (core.keptCapacity(each.load()) > 0 && live.owns(id, core.now())) {
+                owned.put(id, each);
             }
         }
-        followed.entrySet().removeIf(each -> ended(each.getKey(), each.getValue(), due));
-        due.forEach(
+        followed.entrySet()
+                .removeIf(each -> closeUnlessOwned(each.getKey(), each.getValue(), owned));
+        owned.forEach(
                 (id, target) ->
                         followed.computeIfAbsent(id, key -> FollowedEngine.open(core, target)));
-        lookLater();
+        scheduleCheck();
     }
 
     /**
-     * Ends following an engine that is no longer due or has started again: its changes are then
-     * numbered anew.
+     * Stops following an engine that is no longer owned or has restarted, since a restart resets
+     * the sequence numbers of its changes.
      *
      * @param id The engine's id.
-     * @param engine The engine.
-     * @param due The engines to follow.
+     * @param engine The followed engine.
+     * @param owned The engines that this gateway owns, by id.
      * @return {@code true} if it is no longer followed.
      */
-    private static boolean ended(String id, FollowedEngine engine, Map<String, KnownTarget> due) {
-        if (due.containsKey(id) && engine.follows(due.get(id))) {
+    private static boolean closeUnlessOwned(
+            String id, FollowedEngine engine, Map<String, KnownTarget> owned) {
+        if (owned.containsKey(id) && engine.follows(owned.get(id))) {
             return false;
         }
         engine.close();
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -15,30 +15,28 @@
 import org.martenwell.prompt.PromptChain;
 
 /**
- * Asks engines what they keep of prompts after a start, when no peer could tell. Each engine is
- * asked by one gateway, which tells the others, since a list holds an engine's work up.
+ * Loads the contents of engines' prompt caches after the start of a gateway, if no peer has
+ * reported them. Each engine is asked by one gateway, which reports to its peers, because listing
+ * its cache delays an engine's other work.
  */
 final class KeptPartsLoader {
 
-    /** How long after its start a gateway asks, in milliseconds: peers have told by then. */
-    static final long DELAY_MILLIS = 500;
+    /** The delay after the start, in milliseconds; gives peers time to report. */
+    static final long STARTUP_DELAY_MILLIS = 500;
 
-    /** How long an engine may take to answer, in milliseconds. */
-    private static final long CALL_MILLIS = 1_500;
+    /** The timeout of a request to an engine, in milliseconds. */
+    private static final long TIMEOUT_MILLIS = 1_500;
 
-    /** The status of a good answer. */
     private static final int OK = 200;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** The gateway's name. */
     private final String name;
 
     /**
      * Creates a loader.
      *
-     * @param core What all requests share.
+     * @param core The gateway's state.
      * @param name The gateway's name.
      */
     KeptPartsLoader(GatewayCore core, String name) {
@@ -47,41 +45,41 @@
     }
 
     /**
-     * Asks the engines of which nothing is known and that fall to this gateway.
+     * Requests the prompt caches of engines that this gateway owns and of which nothing is known.
      *
      * @param gateways The names of all gateways.
      */
     void load(Collection<String> gateways) {
         for (KnownTarget each : core.targets().all()) {
             boolean engine = core.keptCapacity(each.load()) > 0;
-            if (engine && each.load().memory().isEmpty() && falls(each, gateways)) {
-                ask(each);
+            if (engine && each.load().memory().isEmpty() && owns(each, gateways)) {
+                requestParts(each);
             }
         }
     }
 
     /**
-     * Tells whether a target falls to this gateway.
+     * Returns whether this gateway is the first of all by rendezvous hash for a target.
      *
      * @param target The target.
      * @param gateways The names of all gateways.
-     * @return {@code true} if this gateway comes first by hash.
+     * @return {@code true} if it is.
      */
-    private boolean falls(KnownTarget target, Collection<String> gateways) {
+    private boolean owns(KnownTarget target, Collection<String> gateways) {
         String id = target.load().target().id();
         long own = RendezvousHash.score(name, id);
         return gateways.stream().allMatch(each -> RendezvousHash.score(each, id) <= own);
     }
 
     /**
-     * Asks an engine, once it does not rest.
+     * Requests the contents of an engine's prompt cache, after its pause if it is paused.
      *
      * @param target The engine.
      */
-    private void ask(KnownTarget target) {
+    private void requestParts(KnownTarget target) {
         long rest = target.load().availability().restMillis(core.now());
         if (rest > 0) {
-            core.reactor().delayBackground(rest, () -> ask(target));
+            core.reactor().delayBackground(rest, () -> requestParts(target));
             return;
         }
         HttpCaller caller = core.targets().caller(target);
@@ -90,28 +88,29 @@
         TargetRequestHead request =
                 new TargetRequestHead(
                         HttpMethod.GET, core.dialect().keptPartsPath(), headers, Body.EMPTY);
-        caller.call(request, CALL_MILLIS)
-                .whenResult(reply -> take(target, reply))
+        caller.call(request, TIMEOUT_MILLIS)
+                .whenResult(reply -> storeParts(target, reply))
                 .whenComplete(caller::close);
     }
 
     /**
-     * Takes an engine's answer.
+     * Records the contents of an engine's prompt cache and queues them for the next report to
+     * peers.
      *
      * @param target The engine.
-     * @param reply The answer.
+     * @param reply The engine's response.
      */
-    private void take(KnownTarget target, HttpReply reply) {
+    private void storeParts(KnownTarget target, HttpReply reply) {
         if (reply.status() != OK) {
             return;
         }
-        String life = target.load().target().life();
+        String incarnation = target.load().target().life();
         for (KeptPart each : core.dialect().keptParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().memory().keep(key, tokens, core.keptCapacity(target.load()));
-            core.placed(new PlacedPart(life, key, tokens));
+            core.placed(new PlacedPart(incarnation, key, tokens));
         }
-        core.log().changed("kept-parts", life);
+        core.log().changed("kept-parts", incarnation);
     }
 }
--- a/src/main/java/org/martenwell/gateway/KnownTarget.java
+++ b/src/main/java/org/martenwell/gateway/KnownTarget.java
@@ -4,9 +4,9 @@
 import org.martenwell.exchange.TargetConnections;
 
 /**
- * A target that the gateway deals with.
+ * A target of the directory with this gateway's view of it.
  *
- * @param load What is known of it.
- * @param connections The connections to it.
+ * @param load The load, health and availability of the target.
+ * @param connections The pool of connections to the target.
  */
 record KnownTarget(TargetLoad load, TargetConnections connections) {}
--- a/src/main/java/org/martenwell/gateway/LivePeers.java
+++ b/src/main/java/org/martenwell/gateway/LivePeers.java
@@ -4,20 +4,19 @@
 import java.util.Map;
 import org.martenwell.hash.RendezvousHash;
 
-/** Which gateways were heard from a moment ago, and which of them looks after a target. */
+/** Tracks the gateways that reported recently and assigns each target to one of them. */
 final class LivePeers {
 
-    /** How long a gateway counts as live after its last word, in milliseconds. */
+    /** How long a gateway counts as live after its last report, in milliseconds. */
     private static final long LIVE_MILLIS = 1_500;
 
-    /** This gateway's name. */
     private final String self;
 
-    /** When peers were last heard, in milliseconds. */
-    private final Map<String, Long> heard = new HashMap<>();
+    /** The time of the last report by peer, in milliseconds. */
+    private final Map<String, Long> lastHeardMillis = new HashMap<>();
 
     /**
-     * Creates a set of peers of which none was heard.
+     * Creates a tracker without live peers.
      *
      * @param self This gateway's name.
      */
@@ -26,37 +25,39 @@
     }
 
     /**
-     * Notes that a peer was heard.
+     * Records that a peer reported.
      *
      * @param peer The peer's name.
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     void heard(String peer, long now) {
-        heard.put(peer, now);
+        lastHeardMillis.put(peer, now);
     }
 
     /**
-     * Tells whether a peer was heard a moment ago.
+     * Returns whether a peer reported recently.
      *
      * @param peer The peer's name.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it was.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if it did.
      */
-    boolean live(String peer, long now) {
-        return heard.containsKey(peer) && now - heard.get(peer) <= LIVE_MILLIS;
+    boolean isLive(String peer, long now) {
+        return lastHeardMillis.containsKey(peer) && now - lastHeardMillis.get(peer) <= LIVE_MILLIS;
     }
 
     /**
-     * Tells whether this gateway looks after a target: the first live one by hash does. For moments
-     * two may, or none.
+     * Returns whether this gateway is the owner of a target or a peer: the first of the live
+     * gateways by rendezvous hash. While gateways disagree on which of them are live, there may be
+     * two owners or none.
      *
-     * @param target The target's id.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if this one does.
+     * @param target The id of the target or the name of the peer.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if it is.
      */
-    boolean looksAfter(String target, long now) {
-        heard.values().removeIf(millis -> now - millis > LIVE_MILLIS);
+    boolean owns(String target, long now) {
+        lastHeardMillis.values().removeIf(millis -> now - millis > LIVE_MILLIS);
         long own = RendezvousHash.score(self, target);
-        return heard.keySet().stream().allMatch(each -> RendezvousHash.score(each, target) <= own);
+        return lastHeardMillis.keySet().stream()
+                .allMatch(each -> RendezvousHash.score(each, target) <= own);
     }
 }
--- a/src/main/java/org/martenwell/gateway/LoopPressure.java
+++ b/src/main/java/org/martenwell/gateway/LoopPressure.java
@@ -6,54 +6,58 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Measures how far the loop is behind and refuses a part of the new requests while it is. All
- * callers of an organisation may come to one small box. A box that takes in more than it has
- * processor time for answers nobody in time; refused callers come back to other gateways, which
- * have room. The part grows with the delay, so it settles where the box serves what it can.
+ * Refuses a fraction of new requests while the event loop lags. Without it, a small box that many
+ * callers are connected to accepts more than it has processor time for and serves every request
+ * late; refused callers retry at other gateways. The fraction grows with the lag, so it settles
+ * where the box keeps up.
  */
 final class LoopPressure implements ManagedService {
 
-    /** How often the delay is looked at, in milliseconds. */
-    private static final long TICK_MILLIS = 25;
+    /** The interval at which the lag is sampled, in milliseconds. */
+    private static final long SAMPLE_INTERVAL_MILLIS = 25;
 
-    /** How much the last look weighs, so that one collection of garbage refuses nobody. */
-    private static final double WEIGHT = 0.2;
+    /**
+     * The weight of the last sample in the mean, low enough that a single garbage collection
+     * refuses nothing.
+     */
+    private static final double SMOOTHING_FACTOR = 0.2;
 
     /**
-     * The mean delay from which requests are refused, in milliseconds. A guess: some rounds of a
-     * busy loop, and little against objectives of 250 and more.
+     * The mean lag above which requests are refused, in milliseconds; a few iterations of a busy
+     * loop, and small against latency objectives of 250 ms and more.
      */
-    private static final double BEARABLE_MILLIS = 30;
+    private static final double REFUSAL_START_MILLIS = 30;
 
-    /** The mean delay at which nearly all are refused, in milliseconds: half of 250. */
-    private static final double FULL_MILLIS = 130;
+    /** The mean lag at which nearly all requests are refused, in milliseconds. */
+    private static final double REFUSAL_FULL_MILLIS = 130;
 
-    /** The largest part that is refused, so that the delay goes on to be that of serving. */
-    private static final double MOST = 0.95;
+    /**
+     * The largest fraction of refused requests. Some are always accepted, so that the lag still
+     * reflects the cost of serving them.
+     */
+    private static final double MAX_REFUSED_FRACTION = 0.95;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Chooses which requests are refused. */
+    /** Selects the requests to refuse. */
     private final Random random;
 
-    /** When the loop should look at its delay, in milliseconds. */
+    /** The time for which the next sample is scheduled, in milliseconds. */
     private long dueMillis;
 
-    /** The mean delay, the last looks counting most, in milliseconds. */
-    private double meanMillis;
+    /** The exponentially weighted mean of the lag, in milliseconds. */
+    private double meanLagMillis;
 
-    /** The longest delay since it was last asked for, in milliseconds. */
-    private long longestMillis;
+    /** The largest lag since it was last taken, in milliseconds. */
+    private long maxLagMillis;
 
-    /** Whether nothing is looked at any more. */
     private boolean stopped;
 
     /**
-     * Creates a measure that refuses nothing.
+     * Creates a limiter that refuses nothing yet.
      *
-     * @param reactor The loop.
-     * @param random Chooses which requests are refused.
+     * @param reactor The event loop.
+     * @param random Selects the requests to refuse.
      */
     LoopPressure(NioReactor reactor, Random random) {
         this.reactor = reactor;
@@ -62,7 +66,7 @@
 
     @Override
     public Promise<Void> start() {
-        lookLater();
+        scheduleSample();
         return Promise.complete();
     }
 
@@ -73,50 +77,47 @@
     }
 
     /**
-     * Decides whether a new request is refused.
+     * Decides whether to refuse a new request.
      *
-     * @return {@code true} if it is.
+     * @return {@code true} if it is refused.
      */
     boolean refuses() {
-        double part = part();
-        return part > 0 && random.nextDouble() < part;
+        double refusedFraction = refusedFraction();
+        return refusedFraction > 0 && random.nextDouble() < refusedFraction;
     }
 
-    /**
-     * Returns the part of new requests that is refused.
-     *
-     * @return The part, from 0 to 1.
-     */
-    double part() {
-        double part = (meanMillis - BEARABLE_MILLIS) / (FULL_MILLIS - BEARABLE_MILLIS);
-        return Math.min(MOST, Math.max(0, part));
+    /** {@return the fraction of new requests that is refused, from 0 to 1} */
+    double refusedFraction() {
+        double refusedFraction =
+                (meanLagMillis - REFUSAL_START_MILLIS)
+                        / (REFUSAL_FULL_MILLIS - REFUSAL_START_MILLIS);
+        return Math.min(MAX_REFUSED_FRACTION, Math.max(0, refusedFraction));
     }
 
     /**
-     * Returns the longest delay since the last call.
+     * Returns the largest lag since the last call.
      *
-     * @return The delay in milliseconds.
+     * @return The lag in milliseconds.
      */
-    long takeLongestMillis() {
-        long longest = longestMillis;
-        longestMillis = 0;
-        return longest;
+    long takeMaxLagMillis() {
+        long max = maxLagMillis;
+        maxLagMillis = 0;
+        return max;
     }
 
-    /** Looks at the delay. */
-    private void look() {
+    /** Samples the lag and schedules the next sample. */
+    private void sample() {
         if (stopped) {
             return;
         }
-        long late = Math.max(0, reactor.currentTimeMillis() - dueMillis);
-        meanMillis += WEIGHT * (late - meanMillis);
-        longestMillis = Math.max(longestMillis, late);
-        lookLater();
+        long lagMillis = Math.max(0, reactor.currentTimeMillis() - dueMillis);
+        meanLagMillis += SMOOTHING_FACTOR * (lagMillis - meanLagMillis);
+        maxLagMillis = Math.max(maxLagMillis, lagMillis);
+        scheduleSample();
     }
 
-    /** Looks at the delay after a while. */
-    private void lookLater() {
-        dueMillis = reactor.currentTimeMillis() + TICK_MILLIS;
-        reactor.delayBackground(TICK_MILLIS, this::look);
+    private void scheduleSample() {
+        dueMillis = reactor.currentTimeMillis() + SAMPLE_INTERVAL_MILLIS;
+        reactor.delayBackground(SAMPLE_INTERVAL_MILLIS, this::sample);
     }
 }
--- a/src/main/java/org/martenwell/gateway/MemberSweep.java
+++ b/src/main/java/org/martenwell/gateway/MemberSweep.java
@@ -7,45 +7,45 @@
 import java.util.Map;
 
 /**
- * Finds gateways that ended without leaving the directory. Nothing there goes by itself, so one of
- * those that are left removes them; one that was only silent joins again.
+ * Detects gateways that ended without leaving the directory, whose entries don't expire. One of the
+ * live gateways removes them; a gateway that was only unreachable joins again.
  */
 final class MemberSweep {
 
-    /** How long a gateway must be silent to be taken for gone, in milliseconds. */
-    private static final long GONE_MILLIS = 30_000;
+    /** How long a gateway must be silent to be considered dead, in milliseconds. */
+    private static final long DEAD_AFTER_MILLIS = 30_000;
 
-    /** Since when gateways have not been heard, in milliseconds. */
+    /** The time since which a gateway is silent, in milliseconds. */
     private final Map<String, Long> silentSince = new HashMap<>();
 
-    /** Creates a sweep that has seen nothing. */
+    /** Creates a detector without any gateway. */
     MemberSweep() {}
 
     /**
-     * Finds gateways to remove. A gateway that hears less than half of the others can't tell
-     * whether they are gone or itself is cut off, and finds none.
+     * Returns the dead gateways that this one has to remove. Returns none if less than half of the
+     * peers are live, since this gateway may then be the one that is partitioned.
      *
      * @param peers The other gateways of the directory.
-     * @param live Which of them were heard a moment ago.
-     * @param now The present time, in milliseconds.
-     * @return The names of those that this gateway has to remove.
+     * @param live The peers that reported recently.
+     * @param now The current time, in milliseconds.
+     * @return The names of the dead gateways that this one owns.
      */
-    List<String> gone(Collection<String> peers, LivePeers live, long now) {
+    List<String> findDead(Collection<String> peers, LivePeers live, long now) {
         silentSince.keySet().retainAll(peers);
-        long heard = peers.stream().filter(each -> live.live(each, now)).count();
+        long heard = peers.stream().filter(each -> live.isLive(each, now)).count();
         if (2 * heard < peers.size()) {
             silentSince.clear();
             return List.of();
         }
-        List<String> gone = new ArrayList<>();
+        List<String> dead = new ArrayList<>();
         for (String each : peers) {
-            if (live.live(each, now)) {
+            if (live.isLive(each, now)) {
                 silentSince.remove(each);
-            } else if (now - silentSince.computeIfAbsent(each, name -> now) >= GONE_MILLIS
-                    && live.looksAfter(each, now)) {
-                gone.add(each);
+            } else if (now - silentSince.computeIfAbsent(each, name -> now) >= DEAD_AFTER_MILLIS
+                    && live.owns(each, now)) {
+                dead.add(each);
             }
         }
-        return gone;
+        return dead;
     }
 }
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -19,91 +19,83 @@
 import org.martenwell.service.ManagedService;
 import org.martenwell.settings.GatewaySettings;
 
-/** Tells peers what this gateway does and takes in what they tell. */
+/**
+ * Exchanges reports with the other gateways: loads, fair shares, contents of prompt caches,
+ * draining targets and quarantined requests.
+ */
 final class PeerReporter implements ManagedService, PeerListener {
 
-    /** How often it is looked for gateways that are gone, in milliseconds. */
-    private static final long SWEEP_MILLIS = 5_000;
+    /** The interval of the check for dead gateways, in milliseconds. */
+    private static final long MEMBER_CHECK_MILLIS = 5_000;
 
-    /** How long news of targets that ended is gathered before it is told, in milliseconds. */
-    private static final long GATHER_MILLIS = 5;
+    /** How long an urgent report waits for further changes, in milliseconds. */
+    private static final long COALESCE_MILLIS = 5;
 
     /**
-     * How long it is at least between reports for the sake of news, in milliseconds. When many
-     * targets end at once, a gateway makes some ten reports a second more and not hundreds.
+     * The least interval of urgent reports, in milliseconds. Limits the messages when many targets
+     * crash at once.
      */
-    private static final long NEWS_MILLIS = 100;
+    private static final long MIN_URGENT_MILLIS = 100;
 
-    /** How many gateways tell one that starts what engines keep. */
-    private static final int TELLERS = 3;
+    /** The number of gateways that send the contents of prompt caches to one that starts. */
+    private static final int SNAPSHOT_SENDERS = 3;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The gateway's name. */
     private final String name;
 
-    /** What the gateway does. */
     private final GatewayCore core;
 
-    /** The connections to peers. */
     private final PeerNetwork network;
 
-    /** What peers' configurations and targets are checked against; set at the start. */
+    /** The directory, set before the start. */
     private FleetDirectory directory;
 
-    /** The document of the configuration in force. */
+    /** The document of the active configuration. */
     private String document = "";
 
-    /** Decides when a peer is asked for its configuration. */
+    /** Decides when to request a newer configuration from a peer. */
     private final ConfigurationCatchUp catchUp = new ConfigurationCatchUp();
 
-    /** Which peers were heard from a moment ago. */
+    /** Tracks the peers that reported recently. */
     private final LivePeers live;
 
-    /** Finds gateways that are gone. */
-    private final MemberSweep sweep = new MemberSweep();
+    /** Detects gateways that ended without leaving the directory. */
+    private final MemberSweep deadMembers = new MemberSweep();
 
-    /** Makes reports. */
-    private final ReportMaker maker;
+    private final ReportMaker reportBuilder;
 
-    /** Takes reports in. */
     private final ReportIntake intake;
 
-    /** Tells gateways that joined from those that left. */
     private final UnlistedPeers unlisted = new UnlistedPeers();
 
-    /** Who reports to whom. */
     private final ReportTopology topology;
 
-    /** The peers' addresses by name. */
     private Map<String, String> addresses = Map.of();
 
-    /** What this gateway passes on with its next report. */
     private final RelayedReports relayed;
 
-    /** Whether a report for the sake of news is due. */
-    private boolean newsDue;
+    /** Set while an urgent report is scheduled. */
+    private boolean urgentReportPending;
 
-    /** When the last report for the sake of news was due, in milliseconds. */
-    private long newsMillis = Long.MIN_VALUE / 2;
+    /** The time for which the last urgent report was scheduled, in milliseconds. */
+    private long urgentMillis = Long.MIN_VALUE / 2;
 
-    /** Whether the gateway stopped. */
     private boolean stopped;
 
     /**
      * Creates a reporter.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param settings The gateway's settings.
-     * @param core What the gateway does.
-     * @param random Makes the incarnation and spreads attempts to connect.
+     * @param core The gateway's state.
+     * @param random Generates the incarnation and the jitter of reconnects.
      */
     PeerReporter(NioReactor reactor, GatewaySettings settings, GatewayCore core, Random random) {
         this.reactor = reactor;
         this.name = settings.name();
         this.core = core;
-        this.maker = new ReportMaker(core, name, random.nextLong());
+        this.reportBuilder = new ReportMaker(core, name, random.nextLong());
         this.intake = new ReportIntake(core);
         this.live = new LivePeers(name);
         this.relayed = new RelayedReports(name);
@@ -113,19 +105,19 @@
     }
 
     /**
-     * Sets the directory.
+     * Sets the directory; called once before the start.
      *
-     * @param learnt The directory.
+     * @param fleetDirectory The directory.
      */
-    void directory(FleetDirectory learnt) {
-        directory = learnt;
+    void directory(FleetDirectory fleetDirectory) {
+        directory = fleetDirectory;
     }
 
     @Override
     public Promise<Void> start() {
-        core.harmful().onNews(this::reportSoon);
-        reportLater();
-        reactor.delayBackground(SWEEP_MILLIS, this::sweep);
+        core.harmful().onNews(this::scheduleUrgentReport);
+        scheduleReport();
+        reactor.delayBackground(MEMBER_CHECK_MILLIS, this::removeDeadMembers);
         return network.start();
     }
 
@@ -136,9 +128,9 @@
     }
 
     /**
-     * Changes the gateways of the fleet.
+     * Updates the gateways of the fleet.
      *
-     * @param members All gateways by name, this one among them.
+     * @param members All gateways by name, including this one.
      */
     void members(Map<String, GatewayMember> members) {
         Map<String, String> changed = new HashMap<>();
@@ -149,30 +141,26 @@
         }
         addresses = changed;
         topology.members(members.values());
-        core.fleet(addresses.size() + 1, topology.ageMillis());
+        core.updateFleet(addresses.size() + 1, topology.ageMillis());
         connect();
     }
 
-    /** Opens the connections that are needed now and closes the others. */
+    /** Opens the connections that the topology requires and closes all others. */
     private void connect() {
         Map<String, String> needed = new HashMap<>(addresses);
-        needed.keySet().retainAll(topology.connected(core.now()));
+        needed.keySet().retainAll(topology.requiredPeers(core.now()));
         network.peers(needed);
     }
 
-    /**
-     * Returns which peers were heard from a moment ago.
-     *
-     * @return The peers.
-     */
+    /** {@return the peers that reported recently} */
     LivePeers live() {
         return live;
     }
 
     /**
-     * Changes the configuration that is passed on.
+     * Sets the configuration that is sent to peers on request.
      *
-     * @param text Its document.
+     * @param text The document of the configuration.
      */
     void document(String text) {
         document = text;
@@ -181,9 +169,9 @@
     @Override
     public void received(PeerMessage message) {
         if (message instanceof GatewayReport report) {
-            takeDirect(report);
+            receiveDirect(report);
         } else if (message instanceof ReportBatch batch) {
-            takeBatch(batch);
+            receiveBatch(batch);
         } else if (message instanceof ConfigurationRequest request) {
             if (core.version() > request.above()) {
                 network.send(request.router(), new ConfigurationAnswer(core.version(), document));
@@ -197,133 +185,136 @@
 
     @Override
     public void connected(String peer) {
-        network.send(peer, tells(peer) ? maker.full() : maker.withoutKept());
+        network.send(
+                peer,
+                sendsSnapshotTo(peer) ? reportBuilder.full() : reportBuilder.withoutCachedParts());
     }
 
     /**
-     * Tells whether this gateway tells a peer what engines keep. In a mesh a few do, since each of
-     * them knows nearly all; a relay does if the peer was not there a moment ago.
+     * Returns whether this gateway sends the contents of prompt caches to a peer that has just
+     * connected. In a mesh, where all gateways know nearly all of it, a few do, chosen by hash; a
+     * relay does if the peer has not reported recently.
      *
      * @param peer The peer's name.
      * @return {@code true} if it does.
      */
-    private boolean tells(String peer) {
+    private boolean sendsSnapshotTo(String peer) {
         if (topology.relayed()) {
-            return !live.live(peer, core.now());
+            return !live.isLive(peer, core.now());
         }
         long own = RendezvousHash.score(name, peer);
-        long before =
+        long closer =
                 addresses.keySet().stream()
                         .filter(each -> !each.equals(peer))
                         .filter(each -> RendezvousHash.score(each, peer) > own)
                         .count();
-        return before < TELLERS;
+        return closer < SNAPSHOT_SENDERS;
     }
 
     /**
-     * Takes in a report that came from its gateway.
+     * Processes a report that arrived from the gateway that made it.
      *
      * @param report The report.
      */
-    private void takeDirect(GatewayReport report) {
+    private void receiveDirect(GatewayReport report) {
         if (topology.relayed()) {
-            topology.asked(core.now());
+            topology.usedAsRelay(core.now());
             relayed.take(report);
-            passOnSoon(report);
+            relayUrgently(report);
         }
-        takeReport(report);
+        receiveReport(report);
     }
 
     /**
-     * Takes in reports that a relay gathered.
+     * Processes reports that arrived in a batch from a relay.
      *
-     * @param batch The reports.
+     * @param batch The batch.
      */
-    private void takeBatch(ReportBatch batch) {
+    private void receiveBatch(ReportBatch batch) {
         long now = core.now();
         topology.heard(batch.relay(), now);
-        if (topology.relaying(now) && topology.foreign(batch.relay())) {
+        if (topology.isRelay(now) && topology.inOtherDomain(batch.relay())) {
             relayed.take(batch);
         }
         for (GatewayReport each : ReportBatches.reports(batch)) {
-            passOnSoon(each);
+            relayUrgently(each);
             if (!each.gateway().equals(name)) {
-                takeReport(each);
+                receiveReport(each);
             }
         }
     }
 
     /**
-     * Takes in a peer's report.
+     * Processes a peer's report.
      *
      * @param report The report.
      */
-    private void takeReport(GatewayReport report) {
+    private void receiveReport(GatewayReport report) {
         long now = core.now();
         String peer = report.gateway();
         live.heard(peer, now);
         if (unlisted.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
             directory.refreshMembers();
         }
-        if (catchUp.heard(report.configurationVersion(), core.version(), now)) {
-            ask(peer);
+        if (catchUp.shouldRequest(report.configurationVersion(), core.version(), now)) {
+            requestConfiguration(peer);
         }
         intake.take(report);
     }
 
     /**
-     * Passes on soon what tells of targets that ended. At three reports' time from gateway to
-     * gateway, a request that ended its targets every 0.4 s ended seven in a fleet of 95 before all
-     * knew it.
+     * Schedules an urgent report if this gateway is a relay and the report holds quarantine
+     * updates, so that a harmful request is stopped fleet-wide before it crashes more targets.
      *
      * @param report The report.
      */
-    private void passOnSoon(GatewayReport report) {
-        if (!report.quarantine().isEmpty() && topology.relaying(core.now())) {
-            reportSoon();
+    private void relayUrgently(GatewayReport report) {
+        if (!report.quarantine().isEmpty() && topology.isRelay(core.now())) {
+            scheduleUrgentReport();
         }
     }
 
-    /** Reports soon, besides the reports that come at their times. */
-    private void reportSoon() {
-        if (newsDue) {
+    /** Schedules a report outside the regular interval. */
+    private void scheduleUrgentReport() {
+        if (urgentReportPending) {
             return;
         }
-        newsDue = true;
+        urgentReportPending = true;
         long now = core.now();
-        newsMillis = Math.max(now + GATHER_MILLIS, newsMillis + NEWS_MILLIS);
-        reactor.delayBackground(newsMillis - now, this::reportNews);
+        urgentMillis = Math.max(now + COALESCE_MILLIS, urgentMillis + MIN_URGENT_MILLIS);
+        reactor.delayBackground(urgentMillis - now, this::sendUrgentReport);
     }
 
-    /** Makes a report for the sake of news. */
-    private void reportNews() {
-        newsDue = false;
+    /** Sends an urgent report. */
+    private void sendUrgentReport() {
+        urgentReportPending = false;
         if (!stopped) {
-            tell();
+            sendReport();
         }
     }
 
-    /** Reports and goes on to do so. */
-    private void report() {
+    /** Sends a regular report and schedules the next one. */
+    private void reportPeriodically() {
         if (!stopped) {
-            tell();
-            reportLater();
+            sendReport();
+            scheduleReport();
         }
     }
 
-    /** Tells peers what this gateway does. */
-    private void tell() {
+    /** Sends this gateway's report to its peers or its relay. */
+    private void sendReport() {
         connect();
-        // Reading the directory as soon as a peer told of a leaving target cost two calls a gateway
-        // for what its watch was about to tell.
-        if (core.targets().missesNews(core.now())) {
+        // Not read as soon as a peer reports a draining target: the directory's watch usually
+        // delivers
+        // the change itself.
+        if (core.targets().detectStaleDirectory(core.now())) {
             directory.refresh();
         }
-        GatewayReport own = maker.next(topology.relayed());
+        GatewayReport own = reportBuilder.next(topology.relayed());
         if (!topology.relayed()) {
             network.broadcast(own);
-        } else if (topology.relaying(core.now())) {
-            passOn(own);
+        } else if (topology.isRelay(core.now())) {
+            relayReports(own);
         } else {
             network.send(topology.relay(core.now()), own);
         }
@@ -331,25 +322,26 @@
     }
 
     /**
-     * Passes on what others reported, together with this gateway's report.
+     * Sends the collected reports and this gateway's own to the other relays and to the gateways of
+     * the failure domain.
      *
      * @param own This gateway's report.
      */
-    private void passOn(GatewayReport own) {
+    private void relayReports(GatewayReport own) {
         ReportBatch batch = relayed.batchWith(own);
         topology.otherRelays(core.now()).forEach(each -> network.send(each, batch));
-        for (String each : topology.neighbours()) {
+        for (String each : topology.domainPeers()) {
             network.send(each, batch);
-            relayed.foreign().forEach(other -> network.send(each, other));
+            relayed.fromOtherDomains().forEach(other -> network.send(each, other));
         }
     }
 
     /**
-     * Asks a peer for its configuration, or the relay if there is no connection to that peer.
+     * Requests the configuration of a peer, or of the relay if the peer is not connected.
      *
      * @param peer The peer's name.
      */
-    private void ask(String peer) {
+    private void requestConfiguration(String peer) {
         ConfigurationRequest request = new ConfigurationRequest(name, core.version());
         if (!network.send(peer, request)) {
             network.send(topology.relay(core.now()), request);
@@ -357,19 +349,19 @@
     }
 
     /** Removes gateways from the directory that ended without leaving it. */
-    private void sweep() {
+    private void removeDeadMembers() {
         if (stopped) {
             return;
         }
-        for (String each : sweep.gone(addresses.keySet(), live, core.now())) {
+        for (String each : deadMembers.findDead(addresses.keySet(), live, core.now())) {
             core.log().changed("member-gone", each);
             directory.removeMember(each);
         }
-        reactor.delayBackground(SWEEP_MILLIS, this::sweep);
+        reactor.delayBackground(MEMBER_CHECK_MILLIS, this::removeDeadMembers);
     }
 
-    /** Reports again after a while. */
-    private void reportLater() {
-        reactor.delayBackground(topology.intervalMillis(), this::report);
+    /** Schedules the next regular report. */
+    private void scheduleReport() {
+        reactor.delayBackground(topology.intervalMillis(), this::reportPeriodically);
     }
 }
--- a/src/main/java/org/martenwell/gateway/RelayChoice.java
+++ b/src/main/java/org/martenwell/gateway/RelayChoice.java
@@ -8,71 +8,67 @@
 import java.util.Set;
 
 /**
- * Which gateway of a failure domain is its relay: the first candidate that is not suspected. Who is
- * chosen and then not heard for a while is suspected until it is heard again.
+ * Selects the relay of a failure domain: the first candidate that is not suspected to be down. A
+ * candidate that was selected and then stays silent is suspected until it is heard again.
  */
 final class RelayChoice {
 
-    /** How long a chosen gateway may be silent, in milliseconds. */
-    private static final long SILENT_MILLIS = 700;
+    /** How long a selected candidate may be silent, in milliseconds. */
+    private static final long SUSPECT_AFTER_MILLIS = 700;
 
-    /** The candidates in order. */
+    /** The candidates, the best first. */
     private List<String> candidates = List.of();
 
-    /** The gateways that were silent when they were chosen. */
+    /** The candidates that are suspected to be down. */
     private final Set<String> suspected = new HashSet<>();
 
-    /** When gateways were last heard as relays, in milliseconds. */
-    private final Map<String, Long> heard = new HashMap<>();
+    /** The time at which a candidate was last heard as a relay, in milliseconds. */
+    private final Map<String, Long> lastHeard = new HashMap<>();
 
-    /** The chosen gateway or an empty text. */
+    /** The selected candidate, empty if there is none. */
     private String chosen = "";
 
-    /** Since when it is chosen, in milliseconds. */
+    /** The time at which it was selected, in milliseconds. */
     private long chosenMillis;
 
-    /** Creates a choice among nobody. */
+    /** Creates a selector without candidates. */
     RelayChoice() {}
 
     /**
-     * Changes the candidates.
+     * Replaces the candidates.
      *
-     * @param sorted The candidates in order.
+     * @param sorted The candidates, the best first.
      */
     void candidates(List<String> sorted) {
         candidates = List.copyOf(sorted);
         suspected.retainAll(candidates);
-        heard.keySet().retainAll(candidates);
+        lastHeard.keySet().retainAll(candidates);
     }
 
-    /**
-     * Returns the candidates.
-     *
-     * @return The candidates in order.
-     */
+    /** {@return the candidates, the best first} */
     List<String> candidates() {
         return candidates;
     }
 
     /**
-     * Notes that a candidate was heard as a relay.
+     * Records that a candidate acted as a relay.
      *
-     * @param relay Its name.
-     * @param now The present time, in milliseconds.
+     * @param relay The candidate's name.
+     * @param now The current time, in milliseconds.
      */
     void heard(String relay, long now) {
         if (candidates.contains(relay)) {
-            heard.put(relay, now);
+            lastHeard.put(relay, now);
             suspected.remove(relay);
         }
     }
 
     /**
-     * Chooses the relay.
+     * Selects the relay.
      *
-     * @param self The name of this gateway, which it never suspects.
-     * @param now The present time, in milliseconds.
-     * @return The relay or empty if all are suspected.
+     * @param self The name of this gateway, which is never suspected.
+     * @param now The current time, in milliseconds.
+     * @return The relay's name, empty if all candidates are suspected.
      */
     Optional<String> choose(String self, long now) {
         for (String each : candidates) {
@@ -83,8 +79,9 @@
                 chosen = each;
                 chosenMillis = now;
             }
-            long wordMillis = Math.max(chosenMillis, heard.getOrDefault(each, chosenMillis));
-            if (each.equals(self) || now - wordMillis <= SILENT_MILLIS) {
+            long lastSeenMillis =
+                    Math.max(chosenMillis, lastHeard.getOrDefault(each, chosenMillis));
+            if (each.equals(self) || now - lastSeenMillis <= SUSPECT_AFTER_MILLIS) {
                 return Optional.of(each);
             }
             suspected.add(each);
--- a/src/main/java/org/martenwell/gateway/RelayedReports.java
+++ b/src/main/java/org/martenwell/gateway/RelayedReports.java
@@ -6,23 +6,25 @@
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.peer.ReportBatches;
 
-/** What a relay passes on with its next report. Nothing is passed on by two relays in a row. */
+/**
+ * The reports that a relay forwards with its next report. A batch is forwarded by one relay at
+ * most.
+ */
 final class RelayedReports {
 
-    /** The most batches of other failure domains that are kept for the next report. */
+    /** The most batches from other failure domains that are kept until the next report. */
     private static final int MAX_BATCHES = 64;
 
-    /** This gateway's name. */
     private final String self;
 
-    /** The reports of gateways of the same failure domain. */
-    private final List<GatewayReport> gathered = new ArrayList<>();
+    /** The reports of gateways in the same failure domain. */
+    private final List<GatewayReport> collected = new ArrayList<>();
 
-    /** The batches of other failure domains' relays. */
-    private final List<ReportBatch> foreign = new ArrayList<>();
+    /** The batches of relays of other failure domains. */
+    private final List<ReportBatch> fromOtherDomains = new ArrayList<>();
 
     /**
-     * Creates reports of which there are none yet.
+     * Creates an empty collection.
      *
      * @param self This gateway's name.
      */
@@ -31,49 +33,45 @@
     }
 
     /**
-     * Takes in a report that came from its gateway.
+     * Adds a report that arrived from the gateway that made it.
      *
      * @param report The report.
      */
     void take(GatewayReport report) {
-        gathered.add(report);
+        collected.add(report);
     }
 
     /**
-     * Takes in a batch of another failure domain. One that was passed on already is dropped: two
-     * relays of one failure domain would send it to each other for ever.
+     * Adds a batch from another failure domain. One that was already forwarded is dropped, since
+     * two relays of a domain would otherwise send it to each other endlessly.
      *
      * @param batch The batch.
      */
     void take(ReportBatch batch) {
-        if (!batch.passedOn() && foreign.size() < MAX_BATCHES) {
-            foreign.add(batch.withPassedOn());
+        if (!batch.passedOn() && fromOtherDomains.size() < MAX_BATCHES) {
+            fromOtherDomains.add(batch.withPassedOn());
         }
     }
 
     /**
-     * Makes a batch of what was gathered.
+     * Builds a batch of the collected reports.
      *
      * @param own This gateway's own report.
      * @return The batch.
      */
     ReportBatch batchWith(GatewayReport own) {
-        gathered.add(own);
-        return ReportBatches.of(self, gathered);
+        collected.add(own);
+        return ReportBatches.of(self, collected);
     }
 
-    /**
-     * Returns the batches of other failure domains.
-     *
-     * @return The batches, marked as passed on.
-     */
-    List<ReportBatch> foreign() {
-        return List.copyOf(foreign);
+    /** {@return the batches of other failure domains, marked as forwarded} */
+    List<ReportBatch> fromOtherDomains() {
+        return List.copyOf(fromOtherDomains);
     }
 
-    /** Forgets all, because it was passed on or need not be. */
+    /** Removes all reports and batches. */
     void clear() {
-        gathered.clear();
-        foreign.clear();
+        collected.clear();
+        fromOtherDomains.clear();
     }
 }
--- a/src/main/java/org/martenwell/gateway/ReportIntake.java
+++ b/src/main/java/org/martenwell/gateway/ReportIntake.java
@@ -11,90 +11,92 @@
 import org.martenwell.balance.TargetLoadReport;
 
 /**
- * Takes in what peers report: loads, shares, what engines keep, which targets leave, and what
- * speaks against requests.
+ * Applies the reports of peers to the state of this gateway: loads, fair shares, contents of prompt
+ * caches, draining targets and quarantine updates.
  */
 final class ReportIntake {
 
-    /** What the gateway does. */
     private final GatewayCore core;
 
-    /** The lives of targets that peers last had requests on, by peer. */
-    private final Map<String, Set<String>> loaded = new HashMap<>();
+    /** The incarnations of targets with requests of a peer, as of its last report, by peer. */
+    private final Map<String, Set<String>> loadedTargets = new HashMap<>();
 
     /**
-     * Creates an intake.
+     * Creates a receiver of reports.
      *
-     * @param core What the gateway does.
+     * @param core The gateway's state.
      */
     ReportIntake(GatewayCore core) {
         this.core = core;
     }
 
     /**
-     * Takes in a report.
+     * Applies a report.
      *
      * @param report The report.
      */
     void take(GatewayReport report) {
-        takeLoads(report);
+        updateLoads(report);
         if (!report.shares().isEmpty()) {
             core.shares().peer(report.gateway(), report.shares(), core.now());
         }
-        report.placed().forEach(this::takePlaced);
+        report.placed().forEach(this::updateCachedPart);
         core.harmful().heard(report.quarantine());
-        for (String life : report.leaving()) {
-            core.targets().leavingByPeer(life, core.now());
+        for (String incarnation : report.leaving()) {
+            core.targets().leavingByPeer(incarnation, core.now());
         }
     }
 
     /**
-     * Takes in what a peer put on targets.
+     * Replaces the load that a peer put on targets. Targets that the report omits have none of its
+     * requests any more.
      *
      * @param report The peer's report.
      */
-    private void takeLoads(GatewayReport report) {
+    private void updateLoads(GatewayReport report) {
         Set<String> present = new HashSet<>();
         for (TargetLoadReport each : report.loads()) {
             present.add(each.target());
-            takeLoad(report.gateway(), each.target(), each.sums());
+            updateLoad(report.gateway(), each.target(), each.sums());
         }
-        Set<String> before = loaded.put(report.gateway(), present);
+        Set<String> before = loadedTargets.put(report.gateway(), present);
         if (before != null) {
             before.removeAll(present);
-            before.forEach(each -> takeLoad(report.gateway(), each, LoadSums.NONE));
+            before.forEach(each -> updateLoad(report.gateway(), each, LoadSums.NONE));
         }
     }
 
     /**
-     * Takes in what a peer put on a target.
+     * Replaces the load that a peer put on a target, if that incarnation is known.
      *
      * @param peer The peer's name.
-     * @param target The target's life.
-     * @param sums What it put there.
+     * @param target The target's incarnation.
+     * @param sums The load of the peer's requests.
      */
-    private void takeLoad(String peer, String target, LoadSums sums) {
+    private void updateLoad(String peer, String target, LoadSums sums) {
         core.targets()
-                .findLife(target)
+                .findByIncarnation(target)
                 .ifPresent(known -> known.load().peer(peer, sums, core.now()));
     }
 
     /**
-     * Takes in what a target keeps of a part of prompts.
+     * Applies a change of a target's prompt cache, if that incarnation is known.
      *
-     * @param part The part.
+     * @param part The part that is cached or no longer cached.
      */
-    private void takePlaced(PlacedPart part) {
-        core.targets().findLife(part.target()).ifPresent(target -> takePlaced(target.load(), part));
+    private void updateCachedPart(PlacedPart part) {
+        core.targets()
+                .findByIncarnation(part.target())
+                .ifPresent(target -> updateCachedPart(target.load(), part));
     }
 
     /**
-     * Takes in what a target keeps of a part of prompts.
+     * Applies a change of a target's prompt cache.
      *
      * @param load The target.
-     * @param part The part.
+     * @param part The part that is cached or no longer cached.
      */
-    private void takePlaced(TargetLoad load, PlacedPart part) {
+    private void updateCachedPart(TargetLoad load, PlacedPart part) {
         if (part.tokens() > 0) {
             core.sharedKeys().seen(part.key());
             load.memory().keep(part.key(), part.tokens(), core.keptCapacity(load));
--- a/src/main/java/org/martenwell/gateway/ReportMaker.java
+++ b/src/main/java/org/martenwell/gateway/ReportMaker.java
@@ -9,30 +9,31 @@
 import org.martenwell.quarantine.QuarantineWord;
 import org.martenwell.share.ShareCounts;
 
-/** Makes the reports of this gateway. */
+/** Builds the reports that this gateway sends to its peers. */
 final class ReportMaker {
 
-    /** How often shares are told in a large fleet, in milliseconds; they change slowly. */
-    private static final long SPARSE_SHARES_MILLIS = 400;
+    /**
+     * The interval at which reports in a large fleet include fair shares, in milliseconds; shares
+     * change slowly.
+     */
+    private static final long SPARSE_SHARES_INTERVAL_MILLIS = 400;
 
-    /** What the gateway does. */
     private final GatewayCore core;
 
-    /** The gateway's name. */
     private final String name;
 
-    /** A number that is different after each start. */
+    /** A random number that identifies this run of the gateway. */
     private final long incarnation;
 
-    /** When shares were last told, in milliseconds. */
-    private long sharesToldMillis = Long.MIN_VALUE / 2;
+    /** The time at which shares were last included, in milliseconds. */
+    private long sharesSentMillis = Long.MIN_VALUE / 2;
 
     /**
-     * Creates a maker.
+     * Creates a builder.
      *
-     * @param core What the gateway does.
+     * @param core The gateway's state.
      * @param name The gateway's name.
-     * @param incarnation A number that is different after each start.
+     * @param incarnation A random number that identifies this run of the gateway.
      */
     ReportMaker(GatewayCore core, String name, long incarnation) {
         this.core = core;
@@ -41,51 +42,52 @@
     }
 
     /**
-     * Makes a report with what engines keep since the last one.
+     * Builds a regular report, with the changes of prompt caches since the last one.
      *
-     * @param sparse Whether shares are left out of most reports, because the fleet is large. Peers
-     *     take a report without shares for one that tells nothing of them.
+     * @param largeFleet Whether to leave shares out of most reports. Peers keep the shares of an
+     *     earlier report if one has none.
      * @return The report.
      */
-    GatewayReport next(boolean sparse) {
+    GatewayReport next(boolean largeFleet) {
         long now = core.now();
-        boolean shares = !sparse || now - sharesToldMillis >= SPARSE_SHARES_MILLIS;
-        if (shares) {
-            sharesToldMillis = now;
+        boolean includeShares =
+                !largeFleet || now - sharesSentMillis >= SPARSE_SHARES_INTERVAL_MILLIS;
+        if (includeShares) {
+            sharesSentMillis = now;
         }
-        return with(
+        return build(
                 core.takePlaced(),
-                shares ? core.shares().own(core.now()) : ShareCounts.NONE,
+                includeShares ? core.shares().own(core.now()) : ShareCounts.NONE,
                 core.harmful().takeNews(core.members()));
     }
 
     /**
-     * Makes a report with all that engines keep, as far as this gateway knows.
+     * Builds a report with all known contents of prompt caches and all quarantine updates.
      *
      * @return The report.
      */
     GatewayReport full() {
-        return with(kept(), core.shares().own(core.now()), core.harmful().all());
+        return build(cached(), core.shares().own(core.now()), core.harmful().all());
     }
 
     /**
-     * Makes a report that tells nothing of what engines keep.
+     * Builds a report without contents of prompt caches but with all quarantine updates.
      *
      * @return The report.
      */
-    GatewayReport withoutKept() {
-        return with(List.of(), core.shares().own(core.now()), core.harmful().all());
+    GatewayReport withoutCachedParts() {
+        return build(List.of(), core.shares().own(core.now()), core.harmful().all());
     }
 
     /**
-     * Makes a report.
+     * Builds a report.
      *
-     * @param placed What engines keep that peers are told.
-     * @param shares What organisations asked and got, or empty if peers are not told.
-     * @param quarantine What speaks against requests that peers are told.
+     * @param placed The changes or contents of prompt caches.
+     * @param shares The use of fair shares, or {@link ShareCounts#NONE} to leave it out.
+     * @param quarantine The updates on requests that crash targets.
      * @return The report.
      */
-    private GatewayReport with(
+    private GatewayReport build(
             List<PlacedPart> placed, ShareCounts shares, List<QuarantineWord> quarantine) {
         return new GatewayReport(
                 name,
@@ -98,27 +100,22 @@
                 quarantine);
     }
 
-    /**
-     * Returns what engines keep, as far as this gateway knows.
-     *
-     * @return The parts.
-     */
-    private List<PlacedPart> kept() {
-        List<PlacedPart> kept = new ArrayList<>();
+    /** {@return all known contents of prompt caches} */
+    private List<PlacedPart> cached() {
+        List<PlacedPart> cached = new ArrayList<>();
         for (KnownTarget each : core.targets().all()) {
-            String life = each.load().target().life();
+            String target = each.load().target().life();
             each.load()
                     .memory()
                     .kept()
-                    .forEach((key, tokens) -> kept.add(new PlacedPart(life, key, tokens)));
+                    .forEach((key, tokens) -> cached.add(new PlacedPart(target, key, tokens)));
         }
-        return kept;
+        return cached;
     }
 
     /**
-     * Returns what this gateway put on targets.
-     *
-     * @return The loads; targets without any of its requests are left out.
+     * {@return the load that this gateway put on targets; targets without any of its requests are
+     * left out}
      */
     private List<TargetLoadReport> loads() {
         List<TargetLoadReport> loads = new ArrayList<>();
--- a/src/main/java/org/martenwell/gateway/ReportTopology.java
+++ b/src/main/java/org/martenwell/gateway/ReportTopology.java
@@ -11,57 +11,60 @@
 import org.martenwell.hash.RendezvousHash;
 
 /**
- * Who reports to whom. A small fleet is a mesh. In a large one, the gateways of each failure domain
- * report to one of them, the relay, which passes their reports on to the others of its domain and
- * to the relays of the other domains. Nobody elects a relay, and two for a moment do no harm, since
- * reports are whole and replace each other.
+ * The routes of reports between gateways. A small fleet is a full mesh. In a large one, the
+ * gateways of each failure domain report to one of them, the relay, which forwards their reports to
+ * the gateways of its domain and to the relays of the other domains. Relays are chosen without an
+ * election; a domain may have two for a moment, which is harmless because reports are idempotent.
  */
 final class ReportTopology {
 
-    /** How many gateways a mesh has at most. */
-    private static final int MESH_MEMBERS = 16;
+    /** The largest number of gateways that form a mesh. */
+    private static final int MAX_MESH_SIZE = 16;
 
-    /** How often gateways of a mesh report, in milliseconds. */
-    private static final long MESH_MILLIS = 40;
+    /** The report interval in a mesh, in milliseconds. */
+    private static final long MESH_INTERVAL_MILLIS = 40;
 
-    /** How often gateways report to relays at most, in milliseconds. */
-    private static final long RELAYED_MILLIS = 150;
+    /** The least report interval with relays, in milliseconds. */
+    private static final long MIN_RELAYED_INTERVAL_MILLIS = 150;
 
-    /** How much each gateway adds to the interval of a very large fleet, in milliseconds. */
-    private static final long MILLIS_A_MEMBER = 2;
+    /** The share of each gateway in the report interval of a very large fleet, in milliseconds. */
+    private static final long INTERVAL_MILLIS_PER_MEMBER = 2;
 
-    /** How many intervals old a report of a mesh is on average. */
-    private static final double MESH_AGE = 0.5;
+    /** The mean age of a report in a mesh, in report intervals. */
+    private static final double MESH_AGE_INTERVALS = 0.5;
 
     /**
-     * How many intervals old a report is on average that went by relays: half of one at its gateway
-     * and at each of two relays.
+     * The mean age of a relayed report, in report intervals: half an interval each at its gateway
+     * and at two relays.
      */
-    private static final double RELAYED_AGE = 1.5;
+    private static final double RELAYED_AGE_INTERVALS = 1.5;
 
-    /** How long a gateway relays after others last took it for their relay, in milliseconds. */
-    private static final long ASKED_MILLIS = 500;
+    /**
+     * How long a gateway acts as a relay after a report was last sent to it as one, in
+     * milliseconds.
+     */
+    private static final long RELAY_ROLE_MILLIS = 500;
 
-    /** This gateway's name. */
     private final String self;
 
-    /** This gateway's failure domain. */
     private final String domain;
 
-    /** The relays by failure domain. */
+    /** The choice of the relay by failure domain. */
     private final Map<String, RelayChoice> relays = new TreeMap<>();
 
-    /** How many gateways the fleet has. */
     private int size;
 
-    /** Until when this gateway relays because others report to it, in milliseconds. */
-    private long askedUntil = Long.MIN_VALUE;
+    /**
+     * The time until which this gateway acts as a relay because others report to it, in
+     * milliseconds.
+     */
+    private long relayRoleUntilMillis = Long.MIN_VALUE;
 
     /**
-     * Creates a topology of one gateway.
+     * Creates the topology of a fleet of one gateway.
      *
-     * @param self Its name.
-     * @param domain Its failure domain.
+     * @param self The gateway's name.
+     * @param domain The gateway's failure domain.
      */
     ReportTopology(String self, String domain) {
         this.self = self;
@@ -70,89 +73,78 @@
     }
 
     /**
-     * Changes the gateways of the fleet.
+     * Updates the gateways of the fleet.
      *
-     * @param members The gateways.
+     * @param members The gateways, including this one.
      */
     void members(Collection<GatewayMember> members) {
         size = members.size();
         members.forEach(
                 each -> relays.computeIfAbsent(each.failureDomain(), name -> new RelayChoice()));
-        relays.forEach((name, choice) -> choice.candidates(sorted(members, name)));
+        relays.forEach((name, choice) -> choice.candidates(rankCandidates(members, name)));
     }
 
     /**
-     * Notes that a gateway was heard as a relay.
+     * Records that a gateway acted as a relay.
      *
-     * @param relay Its name.
-     * @param now The present time, in milliseconds.
+     * @param relay The gateway's name.
+     * @param now The current time, in milliseconds.
      */
     void heard(String relay, long now) {
         relays.values().forEach(each -> each.heard(relay, now));
     }
 
     /**
-     * Notes that a gateway reported to this one as its relay.
+     * Records that a gateway sent its report to this one as its relay.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
-    void asked(long now) {
-        askedUntil = now + ASKED_MILLIS;
+    void usedAsRelay(long now) {
+        relayRoleUntilMillis = now + RELAY_ROLE_MILLIS;
     }
 
     /**
-     * Returns whether reports go by relays.
-     *
-     * @return {@code true} if the fleet is too large for a mesh.
+     * {@return {@code true} if the fleet is too large for a mesh, so that reports go through
+     * relays}
      */
     boolean relayed() {
-        return size > MESH_MEMBERS;
+        return size > MAX_MESH_SIZE;
     }
 
-    /**
-     * Returns how long it is between two reports.
-     *
-     * @return The interval in milliseconds.
-     */
+    /** {@return the report interval, in milliseconds} */
     long intervalMillis() {
-        return relayed() ? Math.max(RELAYED_MILLIS, MILLIS_A_MEMBER * size) : MESH_MILLIS;
+        return relayed()
+                ? Math.max(MIN_RELAYED_INTERVAL_MILLIS, INTERVAL_MILLIS_PER_MEMBER * size)
+                : MESH_INTERVAL_MILLIS;
     }
 
-    /**
-     * Returns how old what is known of peers is on average.
-     *
-     * @return The age in milliseconds.
-     */
+    /** {@return the mean age of what is known of peers, in milliseconds} */
     double ageMillis() {
-        return intervalMillis() * (relayed() ? RELAYED_AGE : MESH_AGE);
+        return intervalMillis() * (relayed() ? RELAYED_AGE_INTERVALS : MESH_AGE_INTERVALS);
     }
 
     /**
      * Returns the relay that this gateway reports to.
      *
-     * @param now The present time, in milliseconds.
-     * @return Its name, which may be this gateway's own.
+     * @param now The current time, in milliseconds.
+     * @return The relay's name, which may be this gateway's own.
      */
     String relay(long now) {
         return relays.get(domain).choose(self, now).orElse(self);
     }
 
     /**
-     * Returns whether this gateway passes reports on.
+     * Returns whether this gateway forwards reports.
      *
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it is its domain's relay or others take it for that.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if it is its domain's relay or other gateways report to it as one.
      */
-    boolean relaying(long now) {
-        return relayed() && (now < askedUntil || relay(now).equals(self));
+    boolean isRelay(long now) {
+        return relayed() && (now < relayRoleUntilMillis || relay(now).equals(self));
     }
 
-    /**
-     * Returns the gateways of this one's failure domain.
-     *
-     * @return Their names without this one's.
-     */
-    Set<String> neighbours() {
+    /** {@return the names of the other gateways in this one's failure domain} */
+    Set<String> domainPeers() {
         Set<String> names = new HashSet<>(relays.get(domain).candidates());
         names.remove(self);
         return names;
@@ -161,8 +153,8 @@
     /**
      * Returns the relays of the other failure domains.
      *
-     * @param now The present time, in milliseconds.
-     * @return Their names.
+     * @param now The current time, in milliseconds.
+     * @return The relays' names.
      */
     Set<String> otherRelays(long now) {
         Set<String> names = new HashSet<>();
@@ -176,17 +168,17 @@
     }
 
     /**
-     * Returns whom this gateway needs a connection to.
+     * Returns the peers that this gateway has to be connected to.
      *
-     * @param now The present time, in milliseconds.
-     * @return Their names.
+     * @param now The current time, in milliseconds.
+     * @return The peers' names.
      */
-    Set<String> connected(long now) {
+    Set<String> requiredPeers(long now) {
         Set<String> names = new HashSet<>();
         if (!relayed()) {
             relays.values().forEach(each -> names.addAll(each.candidates()));
-        } else if (relaying(now)) {
-            names.addAll(neighbours());
+        } else if (isRelay(now)) {
+            names.addAll(domainPeers());
             names.addAll(otherRelays(now));
         } else {
             names.add(relay(now));
@@ -196,25 +188,25 @@
     }
 
     /**
-     * Tells whether a gateway is of another failure domain.
+     * Returns whether a gateway is outside this one's failure domain.
      *
-     * @param name Its name.
-     * @return {@code true} if it is.
+     * @param name The gateway's name.
+     * @return {@code true} if it is in another domain or not known.
      */
-    boolean foreign(String name) {
+    boolean inOtherDomain(String name) {
         return !relays.get(domain).candidates().contains(name);
     }
 
     /**
-     * Sorts the gateways of a failure domain by how well they fit as its relay. A relay signs and
-     * writes all reports once for each gateway of its domain, so those with the most processor time
-     * come first.
+     * Ranks the gateways of a failure domain as relays, by processors and then by hash. A relay
+     * signs and writes all reports once for each gateway of its domain, so the processor is its
+     * bottleneck.
      *
-     * @param members The gateways.
+     * @param members The gateways of the fleet.
      * @param of The failure domain.
-     * @return Their names, the best first.
+     * @return The names of its gateways, the best first.
      */
-    private static List<String> sorted(Collection<GatewayMember> members, String of) {
+    private static List<String> rankCandidates(Collection<GatewayMember> members, String of) {
         Comparator<GatewayMember> byProcessors =
                 Comparator.comparingDouble(GatewayMember::processors);
         Comparator<GatewayMember> byScore =
--- a/src/main/java/org/martenwell/gateway/SilenceWatch.java
+++ b/src/main/java/org/martenwell/gateway/SilenceWatch.java
@@ -3,57 +3,59 @@
 import java.util.function.Consumer;
 import org.martenwell.route.Route;
 
-/** Notices attempts whose target sends nothing for longer than their route allows. */
+/** Detects attempts whose target sends nothing for longer than the route allows. */
 final class SilenceWatch {
 
-    /** How long a target may be silent at least, in milliseconds. */
-    private static final long LEAST_SILENCE_MILLIS = 900;
+    /** The least allowed silence of a target, in milliseconds. */
+    private static final long MIN_SILENCE_MILLIS = 900;
 
-    /** For how many objectives of a route a target may be silent. */
-    private static final int SILENT_OBJECTIVES = 2;
+    /** The allowed silence, as a multiple of the route's latency objective. */
+    private static final int OBJECTIVES_ALLOWED = 2;
 
-    /** For how many allowed pauses of a route a target may be silent. */
-    private static final int SILENT_PAUSES = 4;
+    /**
+     * The allowed silence, as a multiple of the longest pause that the route permits in a stream.
+     */
+    private static final int PAUSES_ALLOWED = 4;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** How long a target may be silent, in milliseconds. */
+    /** The allowed silence of a target, in milliseconds. */
     private final long allowedMillis;
 
-    /** Is told of an attempt whose target is silent. */
+    /** Called with an attempt whose target is silent. */
     private final Consumer<SendAttempt> listener;
 
     /**
-     * Creates a watch for the attempts of a request.
+     * Creates a detector for the attempts of a request.
      *
-     * @param core What all requests share.
+     * @param core The gateway's state.
      * @param route The request's route.
-     * @param listener Is told of an attempt whose target is silent, again and again while it is.
+     * @param listener Called with an attempt whose target is silent, repeatedly until the target
+     *     sends or the attempt is over.
      */
     SilenceWatch(GatewayCore core, Route route, Consumer<SendAttempt> listener) {
         this.core = core;
         this.listener = listener;
-        long objectives = SILENT_OBJECTIVES * route.objectiveMillis();
-        long pauses = SILENT_PAUSES * route.pauseMillis();
-        this.allowedMillis = Math.max(LEAST_SILENCE_MILLIS, Math.max(objectives, pauses));
+        long objectives = OBJECTIVES_ALLOWED * route.objectiveMillis();
+        long pauses = PAUSES_ALLOWED * route.pauseMillis();
+        this.allowedMillis = Math.max(MIN_SILENCE_MILLIS, Math.max(objectives, pauses));
     }
 
     /**
-     * Watches an attempt until it is over.
+     * Monitors an attempt until it is over.
      *
      * @param attempt The attempt.
      */
     void watch(SendAttempt attempt) {
-        core.reactor().delayBackground(allowedMillis, () -> look(attempt));
+        core.reactor().delayBackground(allowedMillis, () -> check(attempt));
     }
 
     /**
-     * Looks whether a target still sends.
+     * Reports an attempt whose target is silent, and schedules the next check.
      *
      * @param attempt The attempt.
      */
-    private void look(SendAttempt attempt) {
+    private void check(SendAttempt attempt) {
         if (attempt.over()) {
             return;
         }
--- a/src/main/java/org/martenwell/gateway/StateLog.java
+++ b/src/main/java/org/martenwell/gateway/StateLog.java
@@ -10,50 +10,46 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Logs once a second what a gateway is short of: processor, descriptors, heap or engines, and how
- * the organisations that ask most share them. One line a second, whatever the load.
+ * Logs one line per second on the state of the gateway: processor, descriptors, heap, requests, and
+ * the fair shares of the organisations with the highest demand.
  */
 final class StateLog implements ManagedService {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(StateLog.class);
 
     /**
-     * How long after the start the first line is written, in milliseconds. Reading a process's
-     * usage loads classes that a start need not wait for.
+     * The delay of the first line after the start, in milliseconds. Reading process usage loads
+     * classes that would slow the start.
      */
-    private static final long FIRST_MILLIS = 3_000;
+    private static final long INITIAL_DELAY_MILLIS = 3_000;
 
-    /** How often a line is written, in milliseconds. */
-    private static final long LINE_MILLIS = 1_000;
+    /** The interval between lines, in milliseconds. */
+    private static final long INTERVAL_MILLIS = 1_000;
 
-    /** Of how many organisations a line tells: those that ask most. */
-    private static final int ORGANISATIONS = 3;
+    /** The number of organisations in a line, those with the highest demand. */
+    private static final int TOP_ORGANISATIONS = 3;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** What all requests share. */
     private final GatewayCore core;
 
-    /** Returns how many callers are connected. */
+    /** Returns the number of caller connections. */
     private final IntSupplier connections;
 
-    /** What the process uses of its box. */
+    /** The resource usage of the process. */
     private final ProcessUsage usage = new ProcessUsage();
 
-    /** When the last line was written, in milliseconds. */
+    /** The time of the last line, in milliseconds. */
     private long writtenMillis;
 
-    /** Whether no line is written any more. */
     private boolean stopped;
 
     /**
-     * Creates a log.
+     * Creates a logger.
      *
-     * @param reactor The loop.
-     * @param core What all requests share.
-     * @param connections Returns how many callers are connected.
+     * @param reactor The event loop.
+     * @param core The gateway's state.
+     * @param connections Returns the number of caller connections.
      */
     StateLog(NioReactor reactor, GatewayCore core, IntSupplier connections) {
         this.reactor = reactor;
@@ -64,7 +60,7 @@
     @Override
     public Promise<Void> start() {
         writtenMillis = reactor.currentTimeMillis();
-        reactor.delayBackground(FIRST_MILLIS, this::write);
+        reactor.delayBackground(INITIAL_DELAY_MILLIS, this::write);
         return Promise.complete();
     }
 
@@ -74,7 +70,7 @@
         return Promise.complete();
     }
 
-    /** Writes a line. */
+    /** Logs a line and schedules the next one. */
     private void write() {
         if (stopped) {
             return;
@@ -84,19 +80,19 @@
         LOGGER.info(
                 LogEvent.of("state")
                         .with("overMillis", now - writtenMillis)
-                        .with("lateMillis", core.pressure().takeLongestMillis())
-                        .with("refusedPart", core.pressure().part())
+                        .with("lateMillis", core.pressure().takeMaxLagMillis())
+                        .with("refusedPart", core.pressure().refusedFraction())
                         .with("connections", connections.getAsInt())
-                        .with("serving", core.serving())
+                        .with("serving", core.activeRequests())
                         .with("waiting", core.queue().size())
                         .with("processorMillis", used.processorMillis())
                         .with("collectionMillis", used.collectionMillis())
                         .with("heapMegabytes", used.heapMegabytes())
                         .with("descriptors", used.descriptors())
                         .with("descriptorLimit", used.descriptorLimit())
-                        .with("shares", core.shares().summary(ORGANISATIONS))
+                        .with("shares", core.shares().summary(TOP_ORGANISATIONS))
                         .message());
         writtenMillis = now;
-        reactor.delayBackground(LINE_MILLIS, this::write);
+        reactor.delayBackground(INTERVAL_MILLIS, this::write);
     }
 }
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetNotices.java
@@ -7,32 +7,32 @@
 import org.martenwell.balance.NoticeSource;
 import org.martenwell.balance.TargetLoad;
 
-/** Takes in what becomes known of targets, above all by what their answers say of them. */
+/**
+ * Updates the availability of targets from the heads of their responses, and reports crashes and
+ * drains to the quarantine and the log.
+ */
 final class TargetNotices implements TargetTableListener {
 
-    /** The loop, for the time. */
+    /** The event loop, which supplies the time. */
     private final NioReactor reactor;
 
-    /** Reads answers. */
     private final RequestDialect dialect;
 
-    /** Is told of targets that ended. */
     private final HarmfulRequests harmful;
 
-    /** Counts and logs. */
     private final GatewayLog log;
 
-    /** The time of day, for dates that answers hold. */
+    /** The wall clock, to evaluate dates in responses. */
     private final Clock clock;
 
     /**
-     * Creates an intake.
+     * Creates a handler.
      *
-     * @param reactor The loop, for the time.
-     * @param dialect Reads answers.
-     * @param harmful Is told of targets that ended.
-     * @param log Counts and logs.
-     * @param clock The time of day, for dates that answers hold.
+     * @param reactor The event loop, which supplies the time.
+     * @param dialect Parses responses.
+     * @param harmful Receives crashed targets.
+     * @param log Receives targets that drain or pause.
+     * @param clock The wall clock, to evaluate dates in responses.
      */
     TargetNotices(
             NioReactor reactor,
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public void leaves(String life, NoticeSource source) {
-        log.leaving(life, source);
+    public void leaves(String incarnation, NoticeSource source) {
+        log.leaving(incarnation, source);
     }
 
     @Override
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -21,44 +21,46 @@
 import org.martenwell.exchange.KeepAlive;
 import org.martenwell.exchange.TargetConnections;
 
-/** The targets of the directory, with their loads and connections. */
+/** The targets of the directory with their load and connections. */
 final class TargetTable {
 
-    /** How long opening a connection to a target may take, in milliseconds. */
+    /** The connect timeout of targets, in milliseconds. */
     private static final long CONNECT_MILLIS = 400;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Is told what becomes known of targets. */
     private final TargetTableListener listener;
 
-    /** What targets have said of themselves. */
+    /**
+     * The availability of targets by incarnation, including targets that are not in the directory.
+     */
     private final Availabilities availabilities = new Availabilities();
 
     /** The targets by id. */
     private final Map<String, KnownTarget> targets = new HashMap<>();
 
-    /** The targets by life. */
-    private final Map<String, KnownTarget> lives = new HashMap<>();
+    private final Map<String, KnownTarget> targetsByIncarnation = new HashMap<>();
 
-    /** The reading rates by service. */
+    /** The prefill rates by service. */
     private final Map<String, ReadingRate> rates = new HashMap<>();
 
     /**
-     * How long the own directory may take to tell that a target leaves which is known already, in
-     * milliseconds: twice as long as changes are gathered in the largest fleet.
+     * How long the directory may lag behind peers in reporting that a target drains, in
+     * milliseconds. Twice the batching delay of directory changes in the largest fleet.
      */
-    private static final long CONFIRMED_MILLIS = 1_500;
+    private static final long DIRECTORY_LAG_MILLIS = 1_500;
 
-    /** The lives of leaving targets for which the directory was asked again. */
-    private final Set<String> askedAgain = new HashSet<>();
+    /**
+     * The incarnations of draining targets for which a refresh of the directory was already
+     * requested.
+     */
+    private final Set<String> refreshed = new HashSet<>();
 
     /**
      * Creates an empty table.
      *
-     * @param reactor The loop.
-     * @param listener Is told what becomes known of targets.
+     * @param reactor The event loop.
+     * @param listener Receives changes in the state of targets.
      */
     TargetTable(NioReactor reactor, TargetTableListener listener) {
         this.reactor = reactor;
@@ -66,89 +68,89 @@
     }
 
     /**
-     * Takes in the directory's targets. One that started again is a new target: it has lost its
-     * connections, requests and kept prompts.
+     * Replaces the targets by those of the directory. A target that restarted is a new one: it has
+     * lost its connections, its requests and its prompt cache.
      *
-     * @param told All targets by id.
+     * @param entries All targets by id.
      */
-    void update(Map<String, DirectoryTarget> told) {
+    void update(Map<String, DirectoryTarget> entries) {
         for (String id : List.copyOf(targets.keySet())) {
-            if (!told.containsKey(id)) {
-                forget(id);
+            if (!entries.containsKey(id)) {
+                remove(id);
             }
         }
-        told.values().forEach(this::take);
-        askedAgain.retainAll(lives.keySet());
+        entries.values().forEach(this::updateTarget);
+        refreshed.retainAll(targetsByIncarnation.keySet());
     }
 
     /**
-     * Takes in a target. Any other start is a new one; it may seem to lie before the last, if the
-     * target's clock was set back. So is another address, to which no connection leads.
+     * Adds or updates a target. A different start time or address makes it a new one; the start
+     * time may be earlier than before if the target's clock was set back.
      *
-     * @param told What the directory tells.
+     * @param entry The target's entry in the directory.
      */
-    private void take(DirectoryTarget told) {
-        KnownTarget same = lives.get(told.life());
-        if (same != null && same.load().target().address().equals(told.address())) {
-            same.load().target(told);
-            noteLeaving(same.load());
+    private void updateTarget(DirectoryTarget entry) {
+        KnownTarget current = targetsByIncarnation.get(entry.life());
+        if (current != null && current.load().target().address().equals(entry.address())) {
+            current.load().target(entry);
+            noteLeaving(current.load());
             return;
         }
-        if (targets.containsKey(told.id())) {
-            forget(told.id());
+        if (targets.containsKey(entry.id())) {
+            remove(entry.id());
         }
-        at(told.address()).ifPresent(listener::ended);
-        KnownTarget created = create(told);
-        targets.put(told.id(), created);
-        lives.put(told.life(), created);
+        findByAddress(entry.address()).ifPresent(listener::ended);
+        KnownTarget created = create(entry);
+        targets.put(entry.id(), created);
+        targetsByIncarnation.put(entry.life(), created);
         noteLeaving(created.load());
     }
 
     /**
-     * Notes whether the directory tells that a target leaves.
+     * Marks a target as draining if its directory entry says so.
      *
      * @param load The target.
      */
     private void noteLeaving(TargetLoad load) {
         if (load.target().leaving()) {
-            leaves(load.target().life(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
+            markLeaving(load.target().life(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
         }
     }
 
     /**
-     * Notes that a target leaves. It gets no requests from now on, whatever else is told later: a
-     * store that was away went on to tell a target as ready for 13 s after its first such answer.
+     * Marks a target as draining. This is final for the incarnation, even if the directory later
+     * lists it as ready, because the directory may be stale.
      *
-     * @param life The target's life.
-     * @param source From where that is known.
-     * @param now The present time, in milliseconds.
+     * @param incarnation The target's incarnation.
+     * @param source The origin of that knowledge.
+     * @param now The current time, in milliseconds.
      */
-    private void leaves(String life, NoticeSource source, long now) {
-        if (availability(life).leave(source, now)) {
-            listener.leaves(life, source);
+    private void markLeaving(String incarnation, NoticeSource source, long now) {
+        if (availability(incarnation).leave(source, now)) {
+            listener.leaves(incarnation, source);
         }
     }
 
     /**
-     * Returns what a target has said of itself. One that lives is asked itself: the memory of lives
-     * is bounded and may have forgotten it among 2,048 others.
+     * Returns the availability of a target. That of a listed target is taken from its load, since
+     * the map of availabilities is bounded and may have evicted it.
      *
-     * @param life The target's life.
-     * @return What it has said.
+     * @param incarnation The target's incarnation.
+     * @return The availability.
      */
-    private Availability availability(String life) {
-        KnownTarget known = lives.get(life);
-        return known == null ? availabilities.of(life) : known.load().availability();
+    private Availability availability(String incarnation) {
+        KnownTarget known = targetsByIncarnation.get(incarnation);
+        return known == null ? availabilities.of(incarnation) : known.load().availability();
     }
 
     /**
-     * Forgets a target that is gone or has started again.
+     * Removes a target that is gone or has restarted.
      *
      * @param id The target's id.
      */
-    private void forget(String id) {
+    private void remove(String id) {
         KnownTarget gone = targets.remove(id);
-        lives.remove(gone.load().target().life());
+        targetsByIncarnation.remove(gone.load().target().life());
         if (!gone.load().availability().leaves()) {
             listener.ended(gone);
         }
@@ -156,53 +158,49 @@
     }
 
     /**
-     * Returns the target at an address. One of which the directory has not yet told that it ended
-     * may be found there when the next one takes its place.
+     * Finds the target at an address. When a new target takes over the address of one that is still
+     * listed, the former one has ended.
      *
      * @param address The address.
      * @return The target or empty if there is none.
      */
-    private Optional<KnownTarget> at(InetSocketAddress address) {
+    private Optional<KnownTarget> findByAddress(InetSocketAddress address) {
         return targets.values().stream()
                 .filter(each -> each.load().target().address().equals(address))
                 .findAny();
     }
 
     /**
-     * Notes that a peer knows a target to be leaving, which this gateway may not know yet.
+     * Marks a target as draining because a peer reported it.
      *
-     * @param life The target's life.
-     * @param now The present time, in milliseconds.
+     * @param incarnation The target's incarnation.
+     * @param now The current time, in milliseconds.
      */
-    void leavingByPeer(String life, long now) {
-        leaves(life, NoticeSource.PEER, now);
+    void leavingByPeer(String incarnation, long now) {
+        markLeaving(incarnation, NoticeSource.PEER, now);
     }
 
     /**
-     * Tells whether the own directory has not told for too long that a target leaves which is known
-     * to, so that it may have missed more. Each target counts once.
+     * Checks for targets known to drain that the directory has listed as ready for too long, so
+     * that it may have missed other changes too. Each target is reported once.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      * @return {@code true} if the directory has to be read again.
      */
-    boolean missesNews(long now) {
-        boolean misses = false;
+    boolean detectStaleDirectory(long now) {
+        boolean stale = false;
         for (KnownTarget each : targets.values()) {
             Availability availability = each.load().availability();
             DirectoryTarget target = each.load().target();
-            boolean untold = availability.leaves() && !target.leaving();
-            if (untold && now - availability.leavingSinceMillis() >= CONFIRMED_MILLIS) {
-                misses |= askedAgain.add(target.life());
+            boolean unconfirmed = availability.leaves() && !target.leaving();
+            if (unconfirmed && now - availability.leavingSinceMillis() >= DIRECTORY_LAG_MILLIS) {
+                stale |= refreshed.add(target.life());
             }
         }
-        return misses;
+        return stale;
     }
 
-    /**
-     * Returns the targets that are leaving.
-     *
-     * @return Their lives.
-     */
+    /** {@return the incarnations of all targets that are draining} */
     List<String> leaving() {
         List<String> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
@@ -214,12 +212,12 @@
     }
 
     /**
-     * Returns the targets of a service that take requests.
+     * Returns the targets of a service that accept requests.
      *
-     * @param service The service.
-     * @param tried The ids of targets to pass over.
-     * @param now The present time, in milliseconds.
-     * @return Their loads.
+     * @param service The name of the service.
+     * @param tried The ids of targets to exclude.
+     * @param now The current time, in milliseconds.
+     * @return The loads of these targets.
      */
     List<TargetLoad> open(String service, Collection<String> tried, long now) {
         List<TargetLoad> open = new ArrayList<>();
@@ -236,12 +234,11 @@
     }
 
     /**
-     * Returns when a target of a service takes requests again that rests now.
+     * Returns the time until the first paused target of a service accepts requests again.
      *
-     * @param service The service.
-     * @param now The present time, in milliseconds.
-     * @return The time until the first rest ends, in milliseconds; empty if no target rests that
-     *     does not leave.
+     * @param service The name of the service.
+     * @param now The current time, in milliseconds.
+     * @return The time in milliseconds; empty if no target is paused, apart from draining ones.
      */
     OptionalLong firstRestMillis(String service, long now) {
         return targets.values().stream()
@@ -254,10 +251,10 @@
     }
 
     /**
-     * Returns the targets of a service that are leaving and still there.
+     * Returns the targets of a service that are draining and still listed.
      *
-     * @param service The service.
-     * @return Their loads.
+     * @param service The name of the service.
+     * @return The loads of these targets.
      */
     List<TargetLoad> leaving(String service) {
         List<TargetLoad> found = new ArrayList<>();
@@ -271,39 +268,35 @@
     }
 
     /**
-     * Returns a target.
+     * Finds a target by its id.
      *
      * @param id The target's id.
-     * @return The target or empty if it is gone.
+     * @return The target or empty if it is not listed.
      */
     Optional<KnownTarget> find(String id) {
         return Optional.ofNullable(targets.get(id));
     }
 
     /**
-     * Returns a target in a certain life.
+     * Finds a target by its incarnation.
      *
-     * @param life The target's life.
-     * @return The target or empty if it is gone, has started again or is not known yet.
+     * @param incarnation The target's incarnation.
+     * @return The target or empty if this incarnation is not listed.
      */
-    Optional<KnownTarget> findLife(String life) {
-        return Optional.ofNullable(lives.get(life));
+    Optional<KnownTarget> findByIncarnation(String incarnation) {
+        return Optional.ofNullable(targetsByIncarnation.get(incarnation));
     }
 
-    /**
-     * Returns all targets.
-     *
-     * @return The targets.
-     */
+    /** {@return all targets of the directory} */
     Collection<KnownTarget> all() {
         return targets.values();
     }
 
     /**
-     * Returns how fast the targets of a service read.
+     * Returns the prefill rate of a service's targets.
      *
-     * @param service The service.
-     * @return The rate.
+     * @param service The name of the service.
+     * @return The rate, which is updated by its users.
      */
     ReadingRate rate(String service) {
         return rates.computeIfAbsent(service, name -> new ReadingRate());
@@ -315,28 +308,28 @@
     }
 
     /**
-     * Creates a target.
+     * Creates a target without load.
      *
-     * @param told What the directory tells.
+     * @param entry The target's entry in the directory.
      * @return The target.
      */
-    private KnownTarget create(DirectoryTarget told) {
-        TargetLoad load = new TargetLoad(told, availabilities.of(told.life()));
+    private KnownTarget create(DirectoryTarget entry) {
+        TargetLoad load = new TargetLoad(entry, availabilities.of(entry.life()));
         return new KnownTarget(
                 load,
                 new TargetConnections(
                         reactor,
-                        told.address(),
+                        entry.address(),
                         CONNECT_MILLIS,
                         KeepAlive.NONE,
                         head -> listener.answered(load, head)));
     }
 
     /**
-     * Creates what makes calls of this gateway's own to a target.
+     * Creates a client for requests that this gateway itself makes to a target.
      *
      * @param target The target.
-     * @return The caller, which has connections of its own.
+     * @return The client, which has its own connections and must be closed.
      */
     HttpCaller caller(KnownTarget target) {
         return new HttpCaller(
--- a/src/main/java/org/martenwell/gateway/TargetTableListener.java
+++ b/src/main/java/org/martenwell/gateway/TargetTableListener.java
@@ -4,29 +4,30 @@
 import org.martenwell.balance.NoticeSource;
 import org.martenwell.balance.TargetLoad;
 
-/** Is told what becomes known of targets. */
+/** Receives changes in the state of targets from a {@link TargetTable}. */
 interface TargetTableListener {
 
     /**
-     * Called for a target that ended without having said that it leaves.
+     * Called when a target crashes: it is gone from the directory, or replaced by a new incarnation
+     * or at its address, without having announced that it drains.
      *
-     * @param target The target.
+     * @param target The crashed target.
      */
     void ended(KnownTarget target);
 
     /**
-     * Called when a target is first known to leave.
+     * Called when a target is first known to drain.
      *
-     * @param life The target's life.
-     * @param source From where that is known.
+     * @param incarnation The target's incarnation.
+     * @param source The origin of that knowledge.
      */
-    void leaves(String life, NoticeSource source);
+    void leaves(String incarnation, NoticeSource source);
 
     /**
-     * Called for the head of each answer, whatever the target was asked.
+     * Called for the head of each response of a target, whatever request it answers.
      *
      * @param target The target.
-     * @param head The head.
+     * @param head The head of the response.
      */
     void answered(TargetLoad target, HttpResponse head);
 }
--- a/src/main/java/org/martenwell/gateway/UnlistedPeers.java
+++ b/src/main/java/org/martenwell/gateway/UnlistedPeers.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 
 /**
- * Tells gateways that have joined and are not listed yet from those that have left and still
- * report. Only the first are a reason to list gateways again.
+ * Distinguishes gateways that have joined but are not listed yet from those that have left and
+ * still report. Only the former require that the directory is read again.
  */
 final class UnlistedPeers {
 
-    /** The incarnations of gateways that were listed, by name. */
+    /** The last listed incarnation by gateway. */
     private final Map<String, Long> listed = new HashMap<>();
 
-    /** Creates a set that has heard of nobody. */
+    /** Creates a tracker without any gateway. */
     UnlistedPeers() {}
 
     /**
-     * Notes a report.
+     * Processes the sender of a report.
      *
-     * @param gateway The name of its gateway.
+     * @param gateway The name of the gateway.
      * @param incarnation The gateway's incarnation.
      * @param isListed Whether the directory lists a gateway of that name.
-     * @return {@code true} if the gateway has joined since the last list.
+     * @return {@code true} if the gateway has joined since the directory was read.
      */
     boolean joined(String gateway, long incarnation, boolean isListed) {
         if (isListed) {
--- a/src/main/java/org/martenwell/gateway/package-info.java
+++ b/src/main/java/org/martenwell/gateway/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Gateways: they take callers' requests by routes and hand them to targets of a directory. This
- * package holds the life of a request and what joins the decisions of other packages.
+ * The gateway daemon: accepts callers' HTTP requests, forwards them to targets that the directory
+ * lists, and exchanges load reports with its peers. This package holds the life cycle of a request
+ * and connects the routing, admission, balancing and quarantine packages.
  */
 package org.martenwell.gateway;
--- a/src/test/java/org/martenwell/gateway/HeapWatchTest.java
+++ b/src/test/java/org/martenwell/gateway/HeapWatchTest.java
@@ -5,15 +5,15 @@
 import io.activej.eventloop.Eventloop;
 import org.junit.jupiter.api.Test;
 
-/** Tests when a gateway takes its heap for nearly full, with a clock that only the test moves. */
+/** Tests detection of a nearly full heap, with a simulated clock. */
 final class HeapWatchTest {
 
-    /** Longer than it takes until the heap is looked at, in milliseconds. */
+    /** Longer than the initial delay and the check interval, in milliseconds. */
     private static final long LATER_MILLIS = 5_000;
 
     private long nowMillis = 1;
 
-    private double filled;
+    private double occupancy;
 
     private int collections;
 
@@ -21,43 +21,46 @@
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
     private final HeapWatch watch =
-            new HeapWatch(loop, new GatewayLog(loop), () -> filled, () -> collections++);
+            new HeapWatch(loop, new GatewayLog(loop), () -> occupancy, () -> collections++);
 
     @Test
-    void testHeapWithRoomIsNotCollectedOnPurpose() {
-        filled = 0.8;
+    void testNoForcedCollectionBelowTheLimit() {
+        occupancy = 0.8;
         watch.start();
-        pass();
+        advanceClock();
         assertThat(watch.nearlyFull()).isFalse();
         assertThat(collections).isZero();
     }
 
-    /** Without collections a gateway that serves nothing would never learn that it has room. */
+    /**
+     * Guards against a gateway that refuses requests forever: without requests there are no
+     * collections, so the occupancy would never be updated.
+     */
     @Test
-    void testHeapThatIsNearlyFullIsCollectedUntilItHasRoom() {
-        filled = 0.9;
+    void testCollectionIsForcedWhileTheHeapIsNearlyFull() {
+        occupancy = 0.9;
         watch.start();
-        pass();
+        advanceClock();
         assertThat(watch.nearlyFull()).isTrue();
-        pass();
+        advanceClock();
         assertThat(collections).isEqualTo(1);
-        filled = 0.5;
-        pass();
+        occupancy = 0.5;
+        advanceClock();
         assertThat(watch.nearlyFull()).isFalse();
-        pass();
+        advanceClock();
         assertThat(collections).isEqualTo(2);
     }
 
     @Test
-    void testStoppedWatchLooksNoMore() {
+    void testNoChecksAfterStop() {
         watch.start();
         watch.stop();
-        filled = 0.9;
-        pass();
+        occupancy = 0.9;
+        advanceClock();
         assertThat(watch.nearlyFull()).isFalse();
     }
 
-    private void pass() {
+    private void advanceClock() {
         loop.post(() -> {});
         nowMillis += LATER_MILLIS;
         loop.run();
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -24,7 +24,7 @@
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.settings.GatewaySettings;
 
-/** Tests that the gateways of a large fleet know each other's loads, also when relays end. */
+/** Tests that all gateways of a large fleet learn each other's loads, also when a relay fails. */
 final class LargeFleetReportsTest {
 
     /** More gateways than a mesh has. */
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void testLoadOfOneIsKnownToAllAlsoBehindAnEndOfRelays() {
+    void testLoadReachesAllGatewaysAlsoAfterARelayFails() {
         startAll();
         run(() -> load("x-0").sent(new RunningRequest(5, 7, 0, 0)));
         await(() -> knownToAll(1));
@@ -126,7 +126,7 @@
                 });
     }
 
-    /** A directory that is never asked for anything. */
+    /** A directory whose methods do nothing. */
     private static final class NoDirectory implements FleetDirectory {
 
         @Override
--- a/src/test/java/org/martenwell/gateway/LivePeersTest.java
+++ b/src/test/java/org/martenwell/gateway/LivePeersTest.java
@@ -6,24 +6,24 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Tests which gateway looks after a target. */
+/** Tests which gateway owns a target. */
 final class LivePeersTest {
 
     private static final List<String> NAMES = List.of("a", "b", "c");
 
     @Test
-    void testEachTargetIsLookedAfterByOneOfThoseWhoHearEachOther() {
+    void testEachTargetHasOneOwnerAmongConnectedGateways() {
         List<LivePeers> fleet = NAMES.stream().map(LivePeersTest::hearingAll).toList();
         for (String target : IntStream.range(0, 50).mapToObj(each -> "t-" + each).toList()) {
-            assertThat(fleet.stream().filter(each -> each.looksAfter(target, 100))).hasSize(1);
+            assertThat(fleet.stream().filter(each -> each.owns(target, 100))).hasSize(1);
         }
     }
 
     @Test
-    void testTargetsOfASilentPeerFallToTheOthers() {
+    void testTargetsOfASilentPeerMoveToTheOthers() {
         LivePeers alone = hearingAll("a");
         for (String target : IntStream.range(0, 50).mapToObj(each -> "t-" + each).toList()) {
-            assertThat(alone.looksAfter(target, 5_000)).isTrue();
+            assertThat(alone.owns(target, 5_000)).isTrue();
         }
     }
 
--- a/src/test/java/org/martenwell/gateway/LoopPressureTest.java
+++ b/src/test/java/org/martenwell/gateway/LoopPressureTest.java
@@ -8,15 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All callers of a large organisation came to one gateway of 0.36 cores. It used all of them for
- * ten seconds, answered 0.1 to 2.4 s late or not at all, sent a hundredth of what it had sent
- * before, and the organisation got less than half of what another one got, while 50 gateways used a
- * tenth of their processors. It took in every request and refused none for being late itself.
+ * Guards against a gateway on a small box that accepts every request and serves all of them late,
+ * while other gateways are idle.
  */
 final class LoopPressureTest {
 
-    /** The time between looks of a loop that is not behind, in milliseconds. */
-    private static final long TICK = 25;
+    /** The sample interval of a loop without lag, in milliseconds. */
+    private static final long SAMPLE_MILLIS = 25;
 
     private long nowMillis = 1_000;
 
@@ -26,63 +24,64 @@
     private final LoopPressure pressure = new LoopPressure(loop, new Random(1));
 
     @Test
-    void testLoopThatKeepsUpRefusesNobody() {
+    void testNoRefusalWithoutLag() {
         run(100, 5);
-        assertThat(pressure.part()).isZero();
+        assertThat(pressure.refusedFraction()).isZero();
         assertThat(refused()).isZero();
     }
 
     @Test
-    void testOnePauseRefusesNobody() {
+    void testNoRefusalAfterASinglePause() {
         run(20, 0);
         run(1, 140);
-        assertThat(pressure.part()).isZero();
-        assertThat(pressure.takeLongestMillis()).isEqualTo(140);
-        assertThat(pressure.takeLongestMillis()).isZero();
+        assertThat(pressure.refusedFraction()).isZero();
+        assertThat(pressure.takeMaxLagMillis()).isEqualTo(140);
+        assertThat(pressure.takeMaxLagMillis()).isZero();
     }
 
     @Test
-    void testLoopThatIsBehindRefusesTheMoreTheLaterItIs() {
+    void testRefusalsGrowWithTheLag() {
         run(60, 80);
-        assertThat(pressure.part()).isCloseTo(0.5, within(0.02));
+        assertThat(pressure.refusedFraction()).isCloseTo(0.5, within(0.02));
         assertThat(refused()).isBetween(400, 600);
         run(60, 2_000);
-        assertThat(pressure.part()).isCloseTo(0.95, within(1e-9));
+        assertThat(pressure.refusedFraction()).isCloseTo(0.95, within(1e-9));
     }
 
     @Test
-    void testLoopThatHasCaughtUpTakesAllRequestsAgain() {
+    void testNoRefusalAfterTheLagEnds() {
         run(60, 2_000);
         run(60, 0);
         assertThat(refused()).isZero();
     }
 
     /**
-     * A box with time for 500 requests a second is offered 1,000: it settles where it refuses about
-     * half and is behind by less than a short objective.
+     * Offers twice the load that the box can serve: about half is refused, and the lag stays below
+     * a short latency objective.
      */
     @Test
     void testOverloadedLoopSettles() {
         double backlogMillis = 0;
-        for (int look = 0; look < 400; look++) {
-            double taken = 1 - pressure.part();
-            backlogMillis = Math.max(0, backlogMillis + (2 * taken - 1) * (TICK + backlogMillis));
+        for (int sample = 0; sample < 400; sample++) {
+            double taken = 1 - pressure.refusedFraction();
+            backlogMillis =
+                    Math.max(0, backlogMillis + (2 * taken - 1) * (SAMPLE_MILLIS + backlogMillis));
             backlogMillis = Math.min(backlogMillis, 5_000);
             run(1, Math.round(backlogMillis));
         }
-        assertThat(pressure.part()).isBetween(0.4, 0.6);
+        assertThat(pressure.refusedFraction()).isBetween(0.4, 0.6);
         assertThat(backlogMillis).isLessThan(125);
     }
 
-    /** Lets the loop look so many times, each so much later than it should. */
-    private void run(int looks, long lateMillis) {
+    /** Takes a number of samples, each with the given lag. */
+    private void run(int samples, long lagMillis) {
         if (nowMillis == 1_000) {
             loop.post(pressure::start);
             loop.run();
         }
-        for (int look = 0; look < looks; look++) {
+        for (int sample = 0; sample < samples; sample++) {
             loop.post(() -> {});
-            nowMillis += TICK + lateMillis;
+            nowMillis += SAMPLE_MILLIS + lagMillis;
             loop.run();
         }
     }
--- a/src/test/java/org/martenwell/gateway/MemberSweepTest.java
+++ b/src/test/java/org/martenwell/gateway/MemberSweepTest.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests which gateways are taken for gone. */
+/** Tests which gateways are considered dead and which gateway removes them. */
 final class MemberSweepTest {
 
-    private static final long GONE_MILLIS = 30_000;
+    private static final long DEAD_AFTER_MILLIS = 30_000;
 
     private static final List<String> FLEET = List.of("a", "b", "c", "gone");
 
     @Test
-    void testGoneGatewayIsRemovedByOneOfTheOthers() {
+    void testDeadGatewayIsRemovedByOneOfTheOthers() {
         List<String> removers = new ArrayList<>();
         for (String self : List.of("a", "b", "c")) {
-            if (sweepTwice(self, GONE_MILLIS, "a", "b", "c").equals(List.of("gone"))) {
+            if (checkTwice(self, DEAD_AFTER_MILLIS, "a", "b", "c").equals(List.of("gone"))) {
                 removers.add(self);
             }
         }
@@ -25,26 +25,26 @@
     }
 
     @Test
-    void testGatewayThatIsSilentForAMomentStays() {
+    void testGatewayThatIsSilentForLessThanTheTimeoutStays() {
         for (String self : List.of("a", "b", "c")) {
-            assertThat(sweepTwice(self, GONE_MILLIS - 1, "a", "b", "c")).isEmpty();
+            assertThat(checkTwice(self, DEAD_AFTER_MILLIS - 1, "a", "b", "c")).isEmpty();
         }
     }
 
     @Test
-    void testGatewayThatHearsFewRemovesNobody() {
-        assertThat(sweepTwice("a", GONE_MILLIS, "a", "b")).isEmpty();
+    void testPartitionedGatewayRemovesNone() {
+        assertThat(checkTwice("a", DEAD_AFTER_MILLIS, "a", "b")).isEmpty();
     }
 
-    /** Sweeps, waits while some gateways are heard, and sweeps again. */
-    private static List<String> sweepTwice(String self, long waitMillis, String... heard) {
+    /** Checks, waits while some gateways are heard, and checks again. */
+    private static List<String> checkTwice(String self, long waitMillis, String... heard) {
         LivePeers live = new LivePeers(self);
         MemberSweep sweep = new MemberSweep();
         List<String> peers = FLEET.stream().filter(each -> !each.equals(self)).toList();
         hear(live, self, 0, heard);
-        assertThat(sweep.gone(peers, live, 0)).isEmpty();
+        assertThat(sweep.findDead(peers, live, 0)).isEmpty();
         hear(live, self, waitMillis, heard);
-        return sweep.gone(peers, live, waitMillis);
+        return sweep.findDead(peers, live, waitMillis);
     }
 
     private static void hear(LivePeers live, String self, long now, String... heard) {
--- a/src/test/java/org/martenwell/gateway/RelayChoiceTest.java
+++ b/src/test/java/org/martenwell/gateway/RelayChoiceTest.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests which gateway is taken for a relay. */
+/** Tests the selection of relays. */
 final class RelayChoiceTest {
 
-    /** Longer than a relay may be silent, in milliseconds. */
-    private static final long SILENT = 701;
+    /** Longer than a selected relay may be silent, in milliseconds. */
+    private static final long SUSPECT_MILLIS = 701;
 
     private final RelayChoice choice = new RelayChoice();
 
@@ -26,36 +26,36 @@
     void testSilentCandidatesAreSkippedOneByOneUpToThisGateway() {
         choice.candidates(List.of("a", "b", "c"));
         assertThat(choice.choose("c", 0)).contains("a");
-        assertThat(choice.choose("c", SILENT)).contains("b");
-        assertThat(choice.choose("c", SILENT + 1)).contains("b");
-        assertThat(choice.choose("c", 2 * SILENT)).contains("c");
-        assertThat(choice.choose("c", 9 * SILENT)).contains("c");
+        assertThat(choice.choose("c", SUSPECT_MILLIS)).contains("b");
+        assertThat(choice.choose("c", SUSPECT_MILLIS + 1)).contains("b");
+        assertThat(choice.choose("c", 2 * SUSPECT_MILLIS)).contains("c");
+        assertThat(choice.choose("c", 9 * SUSPECT_MILLIS)).contains("c");
     }
 
     @Test
     void testSuspectedCandidateIsChosenAgainOnceItIsHeard() {
         choice.candidates(List.of("a", "b"));
         choice.choose("b", 0);
-        assertThat(choice.choose("b", SILENT)).contains("b");
-        choice.heard("a", SILENT + 5);
-        assertThat(choice.choose("b", SILENT + 10)).contains("a");
+        assertThat(choice.choose("b", SUSPECT_MILLIS)).contains("b");
+        choice.heard("a", SUSPECT_MILLIS + 5);
+        assertThat(choice.choose("b", SUSPECT_MILLIS + 10)).contains("a");
     }
 
     @Test
     void testRestartedCandidateIsSuspectedUntilItIsHeard() {
         choice.candidates(List.of("a", "b", "c"));
         choice.choose("c", 0);
-        choice.choose("c", SILENT);
+        choice.choose("c", SUSPECT_MILLIS);
         choice.candidates(List.of("a", "b", "c"));
-        assertThat(choice.choose("c", SILENT)).contains("b");
+        assertThat(choice.choose("c", SUSPECT_MILLIS)).contains("b");
     }
 
     @Test
-    void testNobodyIsChosenAmongForeignCandidatesThatAreAllSilent() {
+    void testNoCandidateOfAnotherDomainIsChosenIfAllAreSilent() {
         choice.candidates(List.of("a"));
         assertThat(choice.choose("z", 0)).contains("a");
-        assertThat(choice.choose("z", SILENT)).isEmpty();
-        choice.heard("a", SILENT + 1);
-        assertThat(choice.choose("z", SILENT + 2)).contains("a");
+        assertThat(choice.choose("z", SUSPECT_MILLIS)).isEmpty();
+        choice.heard("a", SUSPECT_MILLIS + 1);
+        assertThat(choice.choose("z", SUSPECT_MILLIS + 2)).contains("a");
     }
 }
--- a/src/test/java/org/martenwell/gateway/RelayedReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/RelayedReportsTest.java
@@ -9,7 +9,7 @@
 import org.martenwell.peer.ReportBatches;
 import org.martenwell.share.ShareCounts;
 
-/** Tests what relays pass on. */
+/** Tests which reports a relay forwards. */
 final class RelayedReportsTest {
 
     private final RelayedReports one = new RelayedReports("one");
@@ -17,27 +17,27 @@
     private final RelayedReports two = new RelayedReports("two");
 
     @Test
-    void testBatchHoldsWhatWasGatheredAndTheOwnReport() {
+    void testBatchHoldsTheCollectedReportsAndTheOwnReport() {
         one.take(report("a"));
         assertThat(ReportBatches.reports(one.batchWith(report("one"))))
                 .containsExactly(report("a"), report("one"));
     }
 
-    /** Relays that passed each other's batches on again sent them to and fro for ever. */
+    /** Guards against a forwarding loop between two relays of a failure domain. */
     @Test
-    void testTwoRelaysOfOneDomainDoNotSendABatchToEachOtherForEver() {
+    void testForwardedBatchIsNotForwardedAgain() {
         one.take(ReportBatches.of("foreign", List.of(report("f"))));
-        List<ReportBatch> passedOn = one.foreign();
+        List<ReportBatch> passedOn = one.fromOtherDomains();
         assertThat(passedOn).hasSize(1);
         passedOn.forEach(two::take);
-        assertThat(two.foreign()).isEmpty();
+        assertThat(two.fromOtherDomains()).isEmpty();
     }
 
     @Test
-    void testWhatWasPassedOnIsForgotten() {
+    void testClearRemovesForwardedReports() {
         one.take(ReportBatches.of("foreign", List.of(report("f"))));
         one.clear();
-        assertThat(one.foreign()).isEmpty();
+        assertThat(one.fromOtherDomains()).isEmpty();
         assertThat(ReportBatches.reports(one.batchWith(report("one")))).hasSize(1);
     }
 
--- a/src/test/java/org/martenwell/gateway/ReportMakerTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportMakerTest.java
@@ -7,13 +7,16 @@
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.share.ShareTier;
 
-/** Tests what gateways tell each other of shares, and how often. */
+/** Tests how often reports include fair shares. */
 final class ReportMakerTest {
 
-    /** Longer than shares are left out in a large fleet, in milliseconds. */
+    /** Longer than the interval of shares in a large fleet, in milliseconds. */
     private static final long LATER_MILLIS = 1_000;
 
-    /** What a fleet produces in a window of which it has counted an eighth, the least, tokens. */
+    /**
+     * The fleet's capacity per window, in tokens; an eighth of it counts at the start of the first
+     * window.
+     */
     private static final double SHARED_TOKENS = 8 * 500;
 
     private long nowMillis = 1;
@@ -23,38 +26,38 @@
 
     private final GatewayCore core = GatewayCores.of(loop);
 
-    private final ReportMaker maker = new ReportMaker(core, "self", 1);
+    private final ReportMaker reportBuilder = new ReportMaker(core, "self", 1);
 
     @Test
-    void testSmallFleetIsToldSharesInEachReport() {
+    void testEachReportInASmallFleetIncludesShares() {
         core.shares().asked("o", 10, core.now());
-        assertThat(maker.next(false).shares().sums()).hasSize(1);
-        assertThat(maker.next(false).shares().sums()).hasSize(1);
+        assertThat(reportBuilder.next(false).shares().sums()).hasSize(1);
+        assertThat(reportBuilder.next(false).shares().sums()).hasSize(1);
     }
 
     @Test
-    void testLargeFleetIsToldSharesNowAndThen() {
+    void testSomeReportsInALargeFleetIncludeShares() {
         core.shares().asked("o", 10, core.now());
-        assertThat(maker.next(true).shares().sums()).hasSize(1);
-        assertThat(maker.next(true).shares().sums()).isEmpty();
-        pass(LATER_MILLIS);
-        assertThat(maker.next(true).shares().sums()).hasSize(1);
+        assertThat(reportBuilder.next(true).shares().sums()).hasSize(1);
+        assertThat(reportBuilder.next(true).shares().sums()).isEmpty();
+        advanceClock(LATER_MILLIS);
+        assertThat(reportBuilder.next(true).shares().sums()).hasSize(1);
     }
 
     @Test
-    void testReportWithoutSharesLeavesThoseOfTheLastOne() {
+    void testReportWithoutSharesKeepsThoseOfTheLastOne() {
         GatewayCore peer = GatewayCores.of(loop);
         ReportIntake intake = new ReportIntake(peer);
         core.shares().asked("o", 1_000, core.now());
         core.shares().begun("o", 1_000, ShareTier.PROMISED, core.now());
-        GatewayReport first = maker.next(true);
+        GatewayReport first = reportBuilder.next(true);
         intake.take(first);
-        intake.take(maker.next(true));
+        intake.take(reportBuilder.next(true));
         assertThat(peer.shares().use("o", 0, SHARED_TOKENS, core.now()).promised()).isEqualTo(2);
     }
 
-    /** Lets time pass. */
-    private void pass(long millis) {
+    /** Advances the clock. */
+    private void advanceClock(long millis) {
         nowMillis += millis;
         loop.post(() -> {});
         loop.run();
--- a/src/test/java/org/martenwell/gateway/ReportTopologyTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportTopologyTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.directory.GatewayMember;
 
-/** Tests who reports to whom. */
+/** Tests the routes of reports between gateways. */
 final class ReportTopologyTest {
 
     private static final List<String> DOMAINS = List.of("x", "y", "z");
@@ -16,7 +16,7 @@
     void testSmallFleetIsAMesh() {
         ReportTopology topology = topology("x-1", "x", 9);
         assertThat(topology.relayed()).isFalse();
-        assertThat(topology.connected(0)).hasSize(8).doesNotContain("x-1");
+        assertThat(topology.requiredPeers(0)).hasSize(8).doesNotContain("x-1");
         assertThat(topology.intervalMillis()).isEqualTo(40);
     }
 
@@ -43,10 +43,10 @@
     }
 
     @Test
-    void testMessagesOfAnIntervalGrowWithTheFleetAndNotWithItsSquare() {
+    void testConnectionsGrowLinearlyWithTheFleet() {
         int links = 0;
         for (GatewayMember each : members(60)) {
-            links += topology(each.name(), each.failureDomain(), 60).connected(0).size();
+            links += topology(each.name(), each.failureDomain(), 60).requiredPeers(0).size();
         }
         int members = 57;
         int relaysToMembers = 57;
@@ -55,15 +55,15 @@
     }
 
     @Test
-    void testGatewayThatOthersReportToRelaysThoughItIsNotTheFirst() {
+    void testGatewayThatOthersReportToIsARelay() {
         String relay = topology("x-1", "x", 60).relay(0);
         String other = relay.equals("x-1") ? "x-2" : "x-1";
         ReportTopology topology = topology(other, "x", 60);
-        assertThat(topology.relaying(0)).isFalse();
-        topology.asked(10);
-        assertThat(topology.relaying(11)).isTrue();
+        assertThat(topology.isRelay(0)).isFalse();
+        topology.usedAsRelay(10);
+        assertThat(topology.isRelay(11)).isTrue();
         topology.heard(relay, 600);
-        assertThat(topology.relaying(600)).isFalse();
+        assertThat(topology.isRelay(600)).isFalse();
     }
 
     private static ReportTopology topology(String name, String domain, int size) {
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -26,10 +26,8 @@
 import org.martenwell.share.ShareCounts;
 
 /**
- * A target may crash and start again under its id before its entry in the directory lapses. A
- * gateway then went on to count the requests and kept prompts of its former life, and took words of
- * peers about that life for the present one, since all of these were kept by id. Requests were
- * placed by prompts that nobody kept.
+ * Guards against a target that restarts under the same id before its directory entry expires being
+ * credited with the requests and the prompt cache of its former incarnation.
  */
 final class TargetLivesTest {
 
@@ -43,41 +41,40 @@
 
     private final ReportIntake intake = new ReportIntake(core);
 
-    /** How many tries of the property began. */
     private int tries;
 
     @BeforeEach
     void start() {
         core.configure(GatewayCores.configuration(new EngineTerms(4, 100_000, true)));
-        tell(target(5, false));
+        updateDirectory(target(5, false));
     }
 
     @Test
-    void testTargetThatStartedAgainHasNoRequestsAndKeepsNothing() {
+    void testRestartedTargetHasNoRequestsAndAnEmptyPromptCache() {
         load().sent(new RunningRequest(100, 100, 1, 0));
         load().memory().keep(PART, 100, 100_000);
         load().health().close(1, 60_000);
-        tell(target(6, false));
+        updateDirectory(target(6, false));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().memory().isEmpty()).isTrue();
         assertThat(load().health().open(1)).isTrue();
     }
 
     @Test
-    void testEndOfARequestOfTheFormerLifeChangesNothingOfThePresentOne() {
+    void testEndOfARequestOfAFormerIncarnationDoesNotChangeTheLoad() {
         TargetLoad former = load();
         RunningRequest request = new RunningRequest(100, 100, 1, 0);
         former.sent(request);
-        tell(target(6, false));
+        updateDirectory(target(6, false));
         load().sent(new RunningRequest(5, 7, 1, 0));
         former.ended(request);
         assertThat(load().all(1)).isEqualTo(new LoadSums(1, 5, 7));
     }
 
     @Test
-    void testWordsOfPeersAboutTheFormerLifeDoNotCount() {
-        String former = life();
-        tell(target(6, false));
+    void testPeerReportsOnAFormerIncarnationAreIgnored() {
+        String former = incarnation();
+        updateDirectory(target(6, false));
         intake.take(report(former, true));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().memory().isEmpty()).isTrue();
@@ -85,75 +82,78 @@
     }
 
     @Test
-    void testTargetThatLeftAndStartedAgainTakesRequests() {
-        core.targets().leavingByPeer(life(), 1);
-        tell(target(5, true));
-        tell(target(6, false));
+    void testDrainedTargetAcceptsRequestsAfterARestart() {
+        core.targets().leavingByPeer(incarnation(), 1);
+        updateDirectory(target(5, true));
+        updateDirectory(target(6, false));
         assertThat(core.targets().open(GatewayCores.SERVICE, List.of(), 1)).hasSize(1);
     }
 
     @Test
-    void testTargetThatMovedHasNoConnectionsToItsFormerAddress() {
+    void testTargetWithANewAddressHasNewConnections() {
         KnownTarget former = core.targets().find("t").orElseThrow();
-        DirectoryTarget present = target(5, false);
-        tell(
+        DirectoryTarget entry = target(5, false);
+        updateDirectory(
                 new DirectoryTarget(
-                        present.id(),
-                        present.bornMillis(),
-                        present.service(),
+                        entry.id(),
+                        entry.bornMillis(),
+                        entry.service(),
                         IpAddress.of("127.0.0.1:2"),
-                        present.failureDomain(),
-                        present.slots(),
-                        present.leaving()));
+                        entry.failureDomain(),
+                        entry.slots(),
+                        entry.leaving()));
         assertThat(core.targets().find("t").orElseThrow().connections())
                 .isNotSameAs(former.connections());
     }
 
-    /** The clock of a target may be set back, so that its last start seems to be an earlier one. */
+    /**
+     * A restart whose start time is earlier, because the target's clock was set back, counts as a
+     * restart.
+     */
     @Test
-    void testStartThatSeemsEarlierIsAStartToo() {
+    void testEarlierStartTimeIsARestart() {
         load().sent(new RunningRequest(100, 100, 1, 0));
-        tell(target(4, false));
+        updateDirectory(target(4, false));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
     }
 
     /**
-     * Lets the directory tell of starts and peers tell of any of them, in any order. Of loads and
-     * kept prompts counts what was told of the present life since it was known. A life that leaves
-     * never takes that back, so that counts whenever it was told.
+     * Applies starts from the directory and reports of peers in any order. Loads and cached prompt
+     * parts count only if reported for the current incarnation since it was listed; draining is
+     * final for an incarnation, so it counts whenever it was reported.
      */
     @Property(tries = 300, seed = "35")
-    void testOnlyWordsAboutThePresentLifeCount(
+    void testOnlyReportsOnTheCurrentIncarnationCount(
             @ForAll @Size(max = 30) List<@IntRange(min = 0, max = 7) Integer> steps) {
         start();
-        // Tries share the core, so each has lives of its own.
+        // Tries share the core, so each uses its own start times.
         long first = 100L * ++tries;
-        tell(target(first, false));
-        long present = first;
+        updateDirectory(target(first, false));
+        long current = first;
         boolean loaded = false;
-        boolean told = false;
+        boolean cached = false;
         Set<Long> leaving = new HashSet<>();
         for (int step : steps) {
             long born = first + step % 4;
             if (step < 4) {
-                loaded &= born == present;
-                told &= born == present;
-                present = born;
-                tell(target(born, false));
+                loaded &= born == current;
+                cached &= born == current;
+                current = born;
+                updateDirectory(target(born, false));
             } else {
                 intake.take(report(target(born, false).life(), true));
-                // A report is whole: the load of what it does not name is over.
-                loaded = born == present;
-                told |= born == present;
+                // A report is complete: targets that it omits have no load.
+                loaded = born == current;
+                cached |= born == current;
                 leaving.add(born);
             }
             assertThat(load().all(1).requests()).isEqualTo(loaded ? 1 : 0);
-            assertThat(load().memory().isEmpty()).isEqualTo(!told);
-            assertThat(core.targets().leaving()).hasSize(leaving.contains(present) ? 1 : 0);
+            assertThat(load().memory().isEmpty()).isEqualTo(!cached);
+            assertThat(core.targets().leaving()).hasSize(leaving.contains(current) ? 1 : 0);
         }
     }
 
-    private String life() {
+    private String incarnation() {
         return load().target().life();
     }
 
@@ -161,20 +161,20 @@
         return core.targets().find("t").orElseThrow().load();
     }
 
-    private void tell(DirectoryTarget target) {
+    private void updateDirectory(DirectoryTarget target) {
         core.targets().update(Map.of("t", target));
     }
 
-    /** Returns a peer's word that it has a request at a target, which keeps a part. */
-    private static GatewayReport report(String life, boolean leaving) {
+    /** Builds a peer's report of a request at a target that caches a part. */
+    private static GatewayReport report(String incarnation, boolean leaving) {
         return new GatewayReport(
                 PEER,
                 1,
                 1,
-                List.of(new TargetLoadReport(life, new LoadSums(1, 5, 7))),
+                List.of(new TargetLoadReport(incarnation, new LoadSums(1, 5, 7))),
                 ShareCounts.NONE,
-                List.of(new PlacedPart(life, PART, 100)),
-                leaving ? List.of(life) : List.of(),
+                List.of(new PlacedPart(incarnation, PART, 100)),
+                leaving ? List.of(incarnation) : List.of(),
                 List.of());
     }
 
--- a/src/test/java/org/martenwell/gateway/TargetTableTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetTableTest.java
@@ -12,14 +12,13 @@
 import org.martenwell.service.IpAddress;
 
 /**
- * Tests what a gateway does with a target of which a peer tells that it leaves. The load: 58
- * targets of which some leave every second; each gateway of 95 that read its directory at once made
- * two calls for each of these seconds, though its watch was about to tell the same.
+ * Tests targets that a peer reports as draining. Guards against directory reads by every gateway
+ * for each such target, although the directory's watch delivers the change itself.
  */
 final class TargetTableTest {
 
-    /** Longer than a directory may take to tell what a peer told, in milliseconds. */
-    private static final long LATE_MILLIS = 2_000;
+    /** Longer than the directory may lag behind peers, in milliseconds. */
+    private static final long LAG_MILLIS = 2_000;
 
     private final TargetTable table =
             new TargetTable(
@@ -33,7 +32,7 @@
     }
 
     @Test
-    void testTargetThatLeavesGetsNothingFromThenOn() {
+    void testDrainingTargetAcceptsNoRequests() {
         assertThat(table.open("service", List.of(), 0))
                 .extracting(load -> load.target().id())
                 .containsExactly("two");
@@ -41,34 +40,33 @@
     }
 
     @Test
-    void testDirectoryThatTellsTheSameSoonIsNotReadAgain() {
-        assertThat(table.missesNews(100)).isFalse();
+    void testDirectoryThatConfirmsInTimeIsNotReadAgain() {
+        assertThat(table.detectStaleDirectory(100)).isFalse();
         table.update(Map.of("one", target("one", true), "two", target("two", false)));
-        assertThat(table.missesNews(LATE_MILLIS)).isFalse();
+        assertThat(table.detectStaleDirectory(LAG_MILLIS)).isFalse();
     }
 
     @Test
-    void testDirectoryThatDoesNotTellIsReadAgainOnce() {
-        assertThat(table.missesNews(LATE_MILLIS)).isTrue();
-        assertThat(table.missesNews(LATE_MILLIS + 1)).isFalse();
-        table.leavingByPeer("one@1", LATE_MILLIS);
-        assertThat(table.missesNews(3 * LATE_MILLIS)).isFalse();
+    void testDirectoryThatDoesNotConfirmIsReadAgainOnce() {
+        assertThat(table.detectStaleDirectory(LAG_MILLIS)).isTrue();
+        assertThat(table.detectStaleDirectory(LAG_MILLIS + 1)).isFalse();
+        table.leavingByPeer("one@1", LAG_MILLIS);
+        assertThat(table.detectStaleDirectory(3 * LAG_MILLIS)).isFalse();
     }
 
     @Test
-    void testTargetThatIsGoneIsForgotten() {
+    void testRemovedTargetIsNotDraining() {
         table.update(Map.of("two", target("two", false)));
-        assertThat(table.missesNews(LATE_MILLIS)).isFalse();
+        assertThat(table.detectStaleDirectory(LAG_MILLIS)).isFalse();
         assertThat(table.leaving()).isEmpty();
     }
 
     /**
-     * By reading: what is remembered by life is bounded. A target that outlived 2,048 others was
-     * forgotten there, so that its leaving was noted where nothing looked any more. What a target
-     * says that lives is noted at itself now.
+     * Guards against a long-lived target being evicted from the bounded map of availabilities,
+     * after which its draining was recorded in an object that nothing reads.
      */
     @Test
-    void testTargetThatOutlivesAllThatIsRememberedStillLeaves() {
+    void testEvictedTargetStillDrains() {
         for (int other = 0; other < 3_000; other++) {
             table.leavingByPeer("other-" + other + "@1", 0);
         }
--- a/src/test/java/org/martenwell/gateway/UnlistedPeersTest.java
+++ b/src/test/java/org/martenwell/gateway/UnlistedPeersTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests which reports are a reason to list gateways again. */
+/** Tests which reports require that the directory is read again. */
 final class UnlistedPeersTest {
 
     private final UnlistedPeers peers = new UnlistedPeers();
 
     @Test
-    void testGatewayThatWasNeverListedHasJoined() {
+    void testUnlistedGatewayHasJoined() {
         assertThat(peers.joined("a", 1, false)).isTrue();
         assertThat(peers.joined("a", 1, true)).isFalse();
     }
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void testGatewayThatStartedAgainHasJoined() {
+    void testRestartedGatewayHasJoined() {
         peers.joined("a", 1, true);
         assertThat(peers.joined("a", 2, false)).isTrue();
     }
