--- a/src/main/java/org/martenwell/gateway/KeptPartsFollower.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
@@ -9,7 +9,7 @@
  * Follows the changes of engines' prompt caches. Each engine is followed by one gateway, its owner,
  * which reports changes to its peers.
  */
-final class KeptPartsFollower implements ManagedService {
+final class CachedPartsFollower implements ManagedService {
 
     /** The interval at which the owned engines are determined, in milliseconds. */
     private static final long CHECK_INTERVAL_MILLIS = 700;
@@ -30,7 +30,7 @@
      * @param core The gateway's state.
      * @param live Determines the engines that this gateway owns.
      */
-    KeptPartsFollower(GatewayCore core, LivePeers live) {
+    CachedPartsFollower(GatewayCore core, LivePeers live) {
         this.core = core;
         this.live = live;
     }
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -19,7 +19,7 @@
  * reported them. Each engine is asked by one gateway, which reports to its peers, because listing
  * its cache delays an engine's other work.
  */
-final class KeptPartsLoader {
+final class CachedPartsLoader {
 
     /** The delay after the start, in milliseconds; gives peers time to report. */
     static final long STARTUP_DELAY_MILLIS = 500;
@@ -39,7 +39,7 @@
      * @param core The gateway's state.
      * @param name The gateway's name.
      */
-    KeptPartsLoader(GatewayCore core, String name) {
+    CachedPartsLoader(GatewayCore core, String name) {
         this.core = core;
         this.name = name;
     }
--- a/src/main/java/org/martenwell/gateway/MemberSweep.java
+++ b/src/main/java/org/martenwell/gateway/DeadMemberDetector.java
@@ -10,7 +10,7 @@
  * Detects gateways that ended without leaving the directory, whose entries don't expire. One of the
  * live gateways removes them; a gateway that was only unreachable joins again.
  */
-final class MemberSweep {
+final class DeadMemberDetector {
 
     /** How long a gateway must be silent to be considered dead, in milliseconds. */
     private static final long DEAD_AFTER_MILLIS = 30_000;
@@ -19,7 +19,7 @@
     private final Map<String, Long> silentSince = new HashMap<>();
 
     /** Creates a detector without any gateway. */
-    MemberSweep() {}
+    DeadMemberDetector() {}
 
     /**
      * Returns the dead gateways that this one has to remove. Returns none if less than half of the
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -89,9 +89,9 @@
     /** The number of requests in progress. */
     private int activeRequests;
 
-    private final HeapWatch heap;
+    private final HeapMonitor heap;
 
-    private final LoopPressure pressure;
+    private final LoopLagLimiter pressure;
 
     /** Set shortly before the gateway exits, when new requests are refused. */
     private boolean closing;
@@ -120,7 +120,7 @@
         this.targets =
                 new TargetTable(
                         reactor,
-                        new TargetNotices(reactor, dialect, harmful, log, Clock.systemUTC()));
+                        new TargetEventHandler(reactor, dialect, harmful, log, Clock.systemUTC()));
         this.shareWindowMillis = settings.shareWindowMillis();
         this.shares = new FairShares(shareWindowMillis);
         this.fingerprints = new FingerprintFunction(settings.peerKey());
@@ -133,8 +133,8 @@
                         settings.retryWindowMillis(),
                         reactor.currentTimeMillis());
         this.queue = new EngineQueue(reactor);
-        this.heap = HeapWatch.of(reactor, log);
-        this.pressure = new LoopPressure(reactor, random);
+        this.heap = HeapMonitor.of(reactor, log);
+        this.pressure = new LoopLagLimiter(reactor, random);
     }
 
     /**
@@ -362,12 +362,12 @@
     }
 
     /** {@return the monitor of the heap} */
-    HeapWatch heap() {
+    HeapMonitor heap() {
         return heap;
     }
 
     /** {@return the limiter that refuses requests while the event loop lags} */
-    LoopPressure pressure() {
+    LoopLagLimiter pressure() {
         return pressure;
     }
 
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -71,19 +71,19 @@
 
     private final GatewayLog log;
 
-    private final StateLog state;
+    private final StateLog stateLog;
 
     /** Loads the contents of prompt caches once after the start. */
-    private final KeptPartsLoader keptParts;
+    private final CachedPartsLoader cachedPartsLoader;
 
     /** Follows the changes of prompt caches. */
-    private final KeptPartsFollower keptChanges;
+    private final CachedPartsFollower cachedPartsFollower;
 
     /** The names of all gateways, including this one. */
     private Set<String> gateways = Set.of();
 
     /** Set once the loading of prompt caches is scheduled. */
-    private boolean keptPartsRequested;
+    private boolean cachedPartsRequested;
 
     /** Set once the directory has listed the targets. */
     private boolean targetsKnown;
@@ -106,7 +106,7 @@
         this.callers =
                 new CallerServer(
                         reactor, IpAddress.of(settings.callerAddress()), this::serveCaller);
-        this.state = new StateLog(reactor, core, callers::connections);
+        this.stateLog = new StateLog(reactor, core, callers::connections);
         this.readiness =
                 new CallerServer(
                         reactor, IpAddress.of(settings.readinessAddress()), this::serveBalancer);
@@ -116,8 +116,8 @@
                         .map(address -> new CallerServer(reactor, address, this::serveMetrics));
         this.peerReporter = new PeerReporter(reactor, settings, core, random);
         this.directory = deployment.directory(reactor, settings, this);
-        this.keptParts = new KeptPartsLoader(core, settings.name());
-        this.keptChanges = new KeptPartsFollower(core, peerReporter.live());
+        this.cachedPartsLoader = new CachedPartsLoader(core, settings.name());
+        this.cachedPartsFollower = new CachedPartsFollower(core, peerReporter.live());
         peerReporter.directory(directory);
         core.harmful().directory(directory);
     }
@@ -131,10 +131,10 @@
                 .then(() -> metrics.map(CallerServer::start).orElseGet(Promise::complete))
                 .then(peerReporter::start)
                 .then(directory::start)
-                .then(keptChanges::start)
+                .then(cachedPartsFollower::start)
                 .then(core.heap()::start)
                 .then(core.pressure()::start)
-                .then(state::start)
+                .then(stateLog::start)
                 .whenResult(() -> log.changed("gateway-listening", settings.callerAddress()));
     }
 
@@ -142,9 +142,9 @@
     public Promise<Void> stop() {
         stopping = true;
         core.targets().close();
-        return keptChanges
+        return cachedPartsFollower
                 .stop()
-                .then(state::stop)
+                .then(stateLog::stop)
                 .then(core.pressure()::stop)
                 .then(core.heap()::stop)
                 .then(directory::stop)
@@ -200,15 +200,15 @@
         core.configure(configuration);
         callers.limit(configuration.limits());
         peerReporter.document(document);
-        loadKeptParts();
+        loadCachedParts();
     }
 
     /** Schedules the loading of prompt caches when the gateway is first ready. */
-    private void loadKeptParts() {
-        if (!keptPartsRequested && ready()) {
-            keptPartsRequested = true;
+    private void loadCachedParts() {
+        if (!cachedPartsRequested && ready()) {
+            cachedPartsRequested = true;
             reactor.delayBackground(
-                    KeptPartsLoader.STARTUP_DELAY_MILLIS, () -> keptParts.load(gateways));
+                    CachedPartsLoader.STARTUP_DELAY_MILLIS, () -> cachedPartsLoader.load(gateways));
         }
     }
 
@@ -217,7 +217,7 @@
         targetsKnown = true;
         core.targets().update(targets);
         log.changed("targets", targets.size());
-        loadKeptParts();
+        loadCachedParts();
     }
 
     @Override
--- a/src/main/java/org/martenwell/gateway/HeapWatch.java
+++ b/src/main/java/org/martenwell/gateway/HeapMonitor.java
@@ -15,7 +15,7 @@
  * which other gateways may serve, instead of running out of memory and losing all requests in
  * progress.
  */
-final class HeapWatch implements ManagedService {
+final class HeapMonitor implements ManagedService {
 
     /**
      * The delay of the first check after the start, in milliseconds. Reading memory pools loads
@@ -66,7 +66,7 @@
      *     0 to 1.
      * @param garbageCollector Forces a garbage collection.
      */
-    HeapWatch(
+    HeapMonitor(
             NioReactor reactor,
             GatewayLog log,
             DoubleSupplier occupancy,
@@ -84,8 +84,8 @@
      * @param log Receives changes of the state.
      * @return The monitor, not started.
      */
-    static HeapWatch of(NioReactor reactor, GatewayLog log) {
-        return new HeapWatch(reactor, log, HeapWatch::oldGenerationOccupancy, System::gc);
+    static HeapMonitor of(NioReactor reactor, GatewayLog log) {
+        return new HeapMonitor(reactor, log, HeapMonitor::oldGenerationOccupancy, System::gc);
     }
 
     @Override
--- a/src/main/java/org/martenwell/gateway/LoopPressure.java
+++ b/src/main/java/org/martenwell/gateway/LoopLagLimiter.java
@@ -11,7 +11,7 @@
  * late; refused callers retry at other gateways. The fraction grows with the lag, so it settles
  * where the box keeps up.
  */
-final class LoopPressure implements ManagedService {
+final class LoopLagLimiter implements ManagedService {
 
     /** The interval at which the lag is sampled, in milliseconds. */
     private static final long SAMPLE_INTERVAL_MILLIS = 25;
@@ -59,7 +59,7 @@
      * @param reactor The event loop.
      * @param random Selects the requests to refuse.
      */
-    LoopPressure(NioReactor reactor, Random random) {
+    LoopLagLimiter(NioReactor reactor, Random random) {
         this.reactor = reactor;
         this.random = random;
     }
@@ -100,9 +100,9 @@
      * @return The lag in milliseconds.
      */
     long takeMaxLagMillis() {
-        long max = maxLagMillis;
+        long maxMillis = maxLagMillis;
         maxLagMillis = 0;
-        return max;
+        return maxMillis;
     }
 
     /** Samples the lag and schedules the next sample. */
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -61,11 +61,11 @@
     private final LivePeers live;
 
     /** Detects gateways that ended without leaving the directory. */
-    private final MemberSweep deadMembers = new MemberSweep();
+    private final DeadMemberDetector deadMembers = new DeadMemberDetector();
 
-    private final ReportMaker reportBuilder;
+    private final ReportBuilder reportBuilder;
 
-    private final ReportIntake intake;
+    private final ReportReceiver receiver;
 
     private final UnlistedPeers unlisted = new UnlistedPeers();
 
@@ -73,7 +73,7 @@
 
     private Map<String, String> addresses = Map.of();
 
-    private final RelayedReports relayed;
+    private final RelayedReports relayedReports;
 
     /** Set while an urgent report is scheduled. */
     private boolean urgentReportPending;
@@ -95,10 +95,10 @@
         this.reactor = reactor;
         this.name = settings.name();
         this.core = core;
-        this.reportBuilder = new ReportMaker(core, name, random.nextLong());
-        this.intake = new ReportIntake(core);
+        this.reportBuilder = new ReportBuilder(core, name, random.nextLong());
+        this.receiver = new ReportReceiver(core);
         this.live = new LivePeers(name);
-        this.relayed = new RelayedReports(name);
+        this.relayedReports = new RelayedReports(name);
         this.topology = new ReportTopology(name, settings.failureDomain());
         this.network =
                 new PeerNetwork(reactor, settings.peerAddress(), settings.peerKey(), random, this);
@@ -219,7 +219,7 @@
     private void receiveDirect(GatewayReport report) {
         if (topology.relayed()) {
             topology.usedAsRelay(core.now());
-            relayed.take(report);
+            relayedReports.take(report);
             relayUrgently(report);
         }
         receiveReport(report);
@@ -234,7 +234,7 @@
         long now = core.now();
         topology.heard(batch.relay(), now);
         if (topology.isRelay(now) && topology.inOtherDomain(batch.relay())) {
-            relayed.take(batch);
+            relayedReports.take(batch);
         }
         for (GatewayReport each : ReportBatches.reports(batch)) {
             relayUrgently(each);
@@ -259,7 +259,7 @@
         if (catchUp.shouldRequest(report.configurationVersion(), core.version(), now)) {
             requestConfiguration(peer);
         }
-        intake.take(report);
+        receiver.apply(report);
     }
 
     /**
@@ -318,7 +318,7 @@
         } else {
             network.send(topology.relay(core.now()), own);
         }
-        relayed.clear();
+        relayedReports.clear();
     }
 
     /**
@@ -328,11 +328,11 @@
      * @param own This gateway's report.
      */
     private void relayReports(GatewayReport own) {
-        ReportBatch batch = relayed.batchWith(own);
+        ReportBatch batch = relayedReports.batchWith(own);
         topology.otherRelays(core.now()).forEach(each -> network.send(each, batch));
         for (String each : topology.domainPeers()) {
             network.send(each, batch);
-            relayed.fromOtherDomains().forEach(other -> network.send(each, other));
+            relayedReports.fromOtherDomains().forEach(other -> network.send(each, other));
         }
     }
 
--- a/src/main/java/org/martenwell/gateway/RelayChoice.java
+++ b/src/main/java/org/martenwell/gateway/RelaySelector.java
@@ -11,7 +11,7 @@
  * Selects the relay of a failure domain: the first candidate that is not suspected to be down. A
  * candidate that was selected and then stays silent is suspected until it is heard again.
  */
-final class RelayChoice {
+final class RelaySelector {
 
     /** How long a selected candidate may be silent, in milliseconds. */
     private static final long SUSPECT_AFTER_MILLIS = 700;
@@ -32,7 +32,7 @@
     private long chosenMillis;
 
     /** Creates a selector without candidates. */
-    RelayChoice() {}
+    RelaySelector() {}
 
     /**
      * Replaces the candidates.
--- a/src/main/java/org/martenwell/gateway/ReportMaker.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -10,7 +10,7 @@
 import org.martenwell.share.ShareCounts;
 
 /** Builds the reports that this gateway sends to its peers. */
-final class ReportMaker {
+final class ReportBuilder {
 
     /**
      * The interval at which reports in a large fleet include fair shares, in milliseconds; shares
@@ -35,7 +35,7 @@
      * @param name The gateway's name.
      * @param incarnation A random number that identifies this run of the gateway.
      */
-    ReportMaker(GatewayCore core, String name, long incarnation) {
+    ReportBuilder(GatewayCore core, String name, long incarnation) {
         this.core = core;
         this.name = name;
         this.incarnation = incarnation;
--- a/src/main/java/org/martenwell/gateway/ReportIntake.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -14,7 +14,7 @@
  * Applies the reports of peers to the state of this gateway: loads, fair shares, contents of prompt
  * caches, draining targets and quarantine updates.
  */
-final class ReportIntake {
+final class ReportReceiver {
 
     private final GatewayCore core;
 
@@ -26,7 +26,7 @@
      *
      * @param core The gateway's state.
      */
-    ReportIntake(GatewayCore core) {
+    ReportReceiver(GatewayCore core) {
         this.core = core;
     }
 
@@ -35,7 +35,7 @@
      *
      * @param report The report.
      */
-    void take(GatewayReport report) {
+    void apply(GatewayReport report) {
         updateLoads(report);
         if (!report.shares().isEmpty()) {
             core.shares().peer(report.gateway(), report.shares(), core.now());
--- a/src/main/java/org/martenwell/gateway/ReportTopology.java
+++ b/src/main/java/org/martenwell/gateway/ReportTopology.java
@@ -50,7 +50,7 @@
     private final String domain;
 
     /** The choice of the relay by failure domain. */
-    private final Map<String, RelayChoice> relays = new TreeMap<>();
+    private final Map<String, RelaySelector> relays = new TreeMap<>();
 
     private int size;
 
@@ -69,7 +69,7 @@
     ReportTopology(String self, String domain) {
         this.self = self;
         this.domain = domain;
-        relays.put(domain, new RelayChoice());
+        relays.put(domain, new RelaySelector());
     }
 
     /**
@@ -80,8 +80,8 @@
     void members(Collection<GatewayMember> members) {
         size = members.size();
         members.forEach(
-                each -> relays.computeIfAbsent(each.failureDomain(), name -> new RelayChoice()));
-        relays.forEach((name, choice) -> choice.candidates(rankCandidates(members, name)));
+                each -> relays.computeIfAbsent(each.failureDomain(), name -> new RelaySelector()));
+        relays.forEach((name, selector) -> selector.candidates(rankCandidates(members, name)));
     }
 
     /**
@@ -159,9 +159,9 @@
     Set<String> otherRelays(long now) {
         Set<String> names = new HashSet<>();
         relays.forEach(
-                (name, choice) -> {
+                (name, selector) -> {
                     if (!name.equals(domain)) {
-                        choice.choose(self, now).ifPresent(names::add);
+                        selector.choose(self, now).ifPresent(names::add);
                     }
                 });
         return names;
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -11,7 +11,7 @@
  * Updates the availability of targets from the heads of their responses, and reports crashes and
  * drains to the quarantine and the log.
  */
-final class TargetNotices implements TargetTableListener {
+final class TargetEventHandler implements TargetTableListener {
 
     /** The event loop, which supplies the time. */
     private final NioReactor reactor;
@@ -34,7 +34,7 @@
      * @param log Receives targets that drain or pause.
      * @param clock The wall clock, to evaluate dates in responses.
      */
-    TargetNotices(
+    TargetEventHandler(
             NioReactor reactor,
             RequestDialect dialect,
             HarmfulRequests harmful,
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -76,7 +76,7 @@
     void update(Map<String, DirectoryTarget> entries) {
         for (String id : List.copyOf(targets.keySet())) {
             if (!entries.containsKey(id)) {
-                remove(id);
+                removeTarget(id);
             }
         }
         entries.values().forEach(this::updateTarget);
@@ -97,7 +97,7 @@
             return;
         }
         if (targets.containsKey(entry.id())) {
-            remove(entry.id());
+            removeTarget(entry.id());
         }
         findByAddress(entry.address()).ifPresent(listener::ended);
         KnownTarget created = create(entry);
@@ -148,7 +148,7 @@
      *
      * @param id The target's id.
      */
-    private void remove(String id) {
+    private void removeTarget(String id) {
         KnownTarget gone = targets.remove(id);
         targetsByIncarnation.remove(gone.load().target().life());
         if (!gone.load().availability().leaves()) {
--- a/src/test/java/org/martenwell/gateway/MemberSweepTest.java
+++ b/src/test/java/org/martenwell/gateway/DeadMemberDetectorTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests which gateways are considered dead and which gateway removes them. */
-final class MemberSweepTest {
+final class DeadMemberDetectorTest {
 
     private static final long DEAD_AFTER_MILLIS = 30_000;
 
@@ -17,7 +17,7 @@
     void testDeadGatewayIsRemovedByOneOfTheOthers() {
         List<String> removers = new ArrayList<>();
         for (String self : List.of("a", "b", "c")) {
-            if (checkTwice(self, DEAD_AFTER_MILLIS, "a", "b", "c").equals(List.of("gone"))) {
+            if (detectTwice(self, DEAD_AFTER_MILLIS, "a", "b", "c").equals(List.of("gone"))) {
                 removers.add(self);
             }
         }
@@ -27,24 +27,24 @@
     @Test
     void testGatewayThatIsSilentForLessThanTheTimeoutStays() {
         for (String self : List.of("a", "b", "c")) {
-            assertThat(checkTwice(self, DEAD_AFTER_MILLIS - 1, "a", "b", "c")).isEmpty();
+            assertThat(detectTwice(self, DEAD_AFTER_MILLIS - 1, "a", "b", "c")).isEmpty();
         }
     }
 
     @Test
     void testPartitionedGatewayRemovesNone() {
-        assertThat(checkTwice("a", DEAD_AFTER_MILLIS, "a", "b")).isEmpty();
+        assertThat(detectTwice("a", DEAD_AFTER_MILLIS, "a", "b")).isEmpty();
     }
 
     /** Checks, waits while some gateways are heard, and checks again. */
-    private static List<String> checkTwice(String self, long waitMillis, String... heard) {
+    private static List<String> detectTwice(String self, long waitMillis, String... heard) {
         LivePeers live = new LivePeers(self);
-        MemberSweep sweep = new MemberSweep();
+        DeadMemberDetector detector = new DeadMemberDetector();
         List<String> peers = FLEET.stream().filter(each -> !each.equals(self)).toList();
         hear(live, self, 0, heard);
-        assertThat(sweep.findDead(peers, live, 0)).isEmpty();
+        assertThat(detector.findDead(peers, live, 0)).isEmpty();
         hear(live, self, waitMillis, heard);
-        return sweep.findDead(peers, live, waitMillis);
+        return detector.findDead(peers, live, waitMillis);
     }
 
     private static void hear(LivePeers live, String self, long now, String... heard) {
--- a/src/test/java/org/martenwell/gateway/HeapWatchTest.java
+++ b/src/test/java/org/martenwell/gateway/HeapMonitorTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests detection of a nearly full heap, with a simulated clock. */
-final class HeapWatchTest {
+final class HeapMonitorTest {
 
     /** Longer than the initial delay and the check interval, in milliseconds. */
     private static final long LATER_MILLIS = 5_000;
@@ -20,15 +20,15 @@
     private final Eventloop loop =
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
-    private final HeapWatch watch =
-            new HeapWatch(loop, new GatewayLog(loop), () -> occupancy, () -> collections++);
+    private final HeapMonitor monitor =
+            new HeapMonitor(loop, new GatewayLog(loop), () -> occupancy, () -> collections++);
 
     @Test
     void testNoForcedCollectionBelowTheLimit() {
         occupancy = 0.8;
-        watch.start();
+        monitor.start();
         advanceClock();
-        assertThat(watch.nearlyFull()).isFalse();
+        assertThat(monitor.nearlyFull()).isFalse();
         assertThat(collections).isZero();
     }
 
@@ -39,25 +39,25 @@
     @Test
     void testCollectionIsForcedWhileTheHeapIsNearlyFull() {
         occupancy = 0.9;
-        watch.start();
+        monitor.start();
         advanceClock();
-        assertThat(watch.nearlyFull()).isTrue();
+        assertThat(monitor.nearlyFull()).isTrue();
         advanceClock();
         assertThat(collections).isEqualTo(1);
         occupancy = 0.5;
         advanceClock();
-        assertThat(watch.nearlyFull()).isFalse();
+        assertThat(monitor.nearlyFull()).isFalse();
         advanceClock();
         assertThat(collections).isEqualTo(2);
     }
 
     @Test
     void testNoChecksAfterStop() {
-        watch.start();
-        watch.stop();
+        monitor.start();
+        monitor.stop();
         occupancy = 0.9;
         advanceClock();
-        assertThat(watch.nearlyFull()).isFalse();
+        assertThat(monitor.nearlyFull()).isFalse();
     }
 
     private void advanceClock() {
--- a/src/test/java/org/martenwell/gateway/LoopPressureTest.java
+++ b/src/test/java/org/martenwell/gateway/LoopLagLimiterTest.java
@@ -11,7 +11,7 @@
  * Guards against a gateway on a small box that accepts every request and serves all of them late,
  * while other gateways are idle.
  */
-final class LoopPressureTest {
+final class LoopLagLimiterTest {
 
     /** The sample interval of a loop without lag, in milliseconds. */
     private static final long SAMPLE_MILLIS = 25;
@@ -21,12 +21,12 @@
     private final Eventloop loop =
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
-    private final LoopPressure pressure = new LoopPressure(loop, new Random(1));
+    private final LoopLagLimiter limiter = new LoopLagLimiter(loop, new Random(1));
 
     @Test
     void testNoRefusalWithoutLag() {
         run(100, 5);
-        assertThat(pressure.refusedFraction()).isZero();
+        assertThat(limiter.refusedFraction()).isZero();
         assertThat(refused()).isZero();
     }
 
@@ -34,18 +34,18 @@
     void testNoRefusalAfterASinglePause() {
         run(20, 0);
         run(1, 140);
-        assertThat(pressure.refusedFraction()).isZero();
-        assertThat(pressure.takeMaxLagMillis()).isEqualTo(140);
-        assertThat(pressure.takeMaxLagMillis()).isZero();
+        assertThat(limiter.refusedFraction()).isZero();
+        assertThat(limiter.takeMaxLagMillis()).isEqualTo(140);
+        assertThat(limiter.takeMaxLagMillis()).isZero();
     }
 
     @Test
     void testRefusalsGrowWithTheLag() {
         run(60, 80);
-        assertThat(pressure.refusedFraction()).isCloseTo(0.5, within(0.02));
+        assertThat(limiter.refusedFraction()).isCloseTo(0.5, within(0.02));
         assertThat(refused()).isBetween(400, 600);
         run(60, 2_000);
-        assertThat(pressure.refusedFraction()).isCloseTo(0.95, within(1e-9));
+        assertThat(limiter.refusedFraction()).isCloseTo(0.95, within(1e-9));
     }
 
     @Test
@@ -63,20 +63,20 @@
     void testOverloadedLoopSettles() {
         double backlogMillis = 0;
         for (int sample = 0; sample < 400; sample++) {
-            double taken = 1 - pressure.refusedFraction();
+            double taken = 1 - limiter.refusedFraction();
             backlogMillis =
                     Math.max(0, backlogMillis + (2 * taken - 1) * (SAMPLE_MILLIS + backlogMillis));
             backlogMillis = Math.min(backlogMillis, 5_000);
             run(1, Math.round(backlogMillis));
         }
-        assertThat(pressure.refusedFraction()).isBetween(0.4, 0.6);
+        assertThat(limiter.refusedFraction()).isBetween(0.4, 0.6);
         assertThat(backlogMillis).isLessThan(125);
     }
 
     /** Takes a number of samples, each with the given lag. */
     private void run(int samples, long lagMillis) {
         if (nowMillis == 1_000) {
-            loop.post(pressure::start);
+            loop.post(limiter::start);
             loop.run();
         }
         for (int sample = 0; sample < samples; sample++) {
@@ -89,7 +89,7 @@
     private int refused() {
         int refused = 0;
         for (int request = 0; request < 1_000; request++) {
-            refused += pressure.refuses() ? 1 : 0;
+            refused += limiter.refuses() ? 1 : 0;
         }
         return refused;
     }
--- a/src/test/java/org/martenwell/gateway/ReportMakerTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportBuilderTest.java
@@ -8,7 +8,7 @@
 import org.martenwell.share.ShareTier;
 
 /** Tests how often reports include fair shares. */
-final class ReportMakerTest {
+final class ReportBuilderTest {
 
     /** Longer than the interval of shares in a large fleet, in milliseconds. */
     private static final long LATER_MILLIS = 1_000;
@@ -26,7 +26,7 @@
 
     private final GatewayCore core = GatewayCores.of(loop);
 
-    private final ReportMaker reportBuilder = new ReportMaker(core, "self", 1);
+    private final ReportBuilder reportBuilder = new ReportBuilder(core, "self", 1);
 
     @Test
     void testEachReportInASmallFleetIncludesShares() {
@@ -47,12 +47,12 @@
     @Test
     void testReportWithoutSharesKeepsThoseOfTheLastOne() {
         GatewayCore peer = GatewayCores.of(loop);
-        ReportIntake intake = new ReportIntake(peer);
+        ReportReceiver receiver = new ReportReceiver(peer);
         core.shares().asked("o", 1_000, core.now());
         core.shares().begun("o", 1_000, ShareTier.PROMISED, core.now());
         GatewayReport first = reportBuilder.next(true);
-        intake.take(first);
-        intake.take(reportBuilder.next(true));
+        receiver.apply(first);
+        receiver.apply(reportBuilder.next(true));
         assertThat(peer.shares().use("o", 0, SHARED_TOKENS, core.now()).promised()).isEqualTo(2);
     }
 
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -39,7 +39,7 @@
             GatewayCores.of(
                     Eventloop.builder().withTimeProvider(() -> 1).withCurrentThread().build());
 
-    private final ReportIntake intake = new ReportIntake(core);
+    private final ReportReceiver receiver = new ReportReceiver(core);
 
     private int tries;
 
@@ -75,7 +75,7 @@
     void testPeerReportsOnAFormerIncarnationAreIgnored() {
         String former = incarnation();
         updateDirectory(target(6, false));
-        intake.take(report(former, true));
+        receiver.apply(report(former, true));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().memory().isEmpty()).isTrue();
         assertThat(core.targets().leaving()).isEmpty();
@@ -141,7 +141,7 @@
                 current = born;
                 updateDirectory(target(born, false));
             } else {
-                intake.take(report(target(born, false).life(), true));
+                receiver.apply(report(target(born, false).life(), true));
                 // A report is complete: targets that it omits have no load.
                 loaded = born == current;
                 cached |= born == current;
