--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -74,7 +74,7 @@
     private RouteTable routes = new RouteTable(List.of());
 
     /** The changes of prompt caches since the last report to peers. */
-    private List<PlacedPart> placed = new ArrayList<>();
+    private List<PlacedPart> cacheUpdates = new ArrayList<>();
 
     private final SharedKeys sharedKeys = new SharedKeys();
 
@@ -313,8 +313,8 @@
      * @param part The part that is cached or no longer cached.
      */
     void placed(PlacedPart part) {
-        if (placed.size() < MAX_PENDING_PARTS) {
-            placed.add(part);
+        if (cacheUpdates.size() < MAX_PENDING_PARTS) {
+            cacheUpdates.add(part);
         }
     }
 
@@ -351,8 +351,8 @@
      * @return The changes since the last call.
      */
     List<PlacedPart> takePlaced() {
-        List<PlacedPart> taken = placed;
-        placed = new ArrayList<>();
+        List<PlacedPart> taken = cacheUpdates;
+        cacheUpdates = new ArrayList<>();
         return taken;
     }
 
