--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -219,7 +219,7 @@
     private void receiveDirect(GatewayReport report) {
         if (topology.relayed()) {
             topology.usedAsRelay(core.now());
-            relayedReports.take(report);
+            relayedReports.add(report);
             relayUrgently(report);
         }
         receiveReport(report);
@@ -234,7 +234,7 @@
         long now = core.now();
         topology.heard(batch.relay(), now);
         if (topology.isRelay(now) && topology.inOtherDomain(batch.relay())) {
-            relayedReports.take(batch);
+            relayedReports.add(batch);
         }
         for (GatewayReport each : ReportBatches.reports(batch)) {
             relayUrgently(each);
@@ -304,9 +304,8 @@
     /** Sends this gateway's report to its peers or its relay. */
     private void sendReport() {
         connect();
-        // Not read as soon as a peer reports a draining target: the directory's watch usually
-        // delivers
-        // the change itself.
+        // Not read for each draining target that a peer reports: the directory usually delivers the
+        // change itself soon after.
         if (core.targets().detectStaleDirectory(core.now())) {
             directory.refresh();
         }
--- a/src/main/java/org/martenwell/gateway/RelayedReports.java
+++ b/src/main/java/org/martenwell/gateway/RelayedReports.java
@@ -37,7 +37,7 @@
      *
      * @param report The report.
      */
-    void take(GatewayReport report) {
+    void add(GatewayReport report) {
         collected.add(report);
     }
 
@@ -47,7 +47,7 @@
      *
      * @param batch The batch.
      */
-    void take(ReportBatch batch) {
+    void add(ReportBatch batch) {
         if (!batch.passedOn() && fromOtherDomains.size() < MAX_BATCHES) {
             fromOtherDomains.add(batch.withPassedOn());
         }
--- a/src/main/java/org/martenwell/gateway/TargetTableListener.java
+++ b/src/main/java/org/martenwell/gateway/TargetTableListener.java
@@ -8,8 +8,8 @@
 interface TargetTableListener {
 
     /**
-     * Called when a target crashes: it is gone from the directory, or replaced by a new incarnation
-     * or at its address, without having announced that it drains.
+     * Called when a target is gone from the directory or has restarted without having drained, or
+     * when another target has taken over its address.
      *
      * @param target The crashed target.
      */
--- a/src/test/java/org/martenwell/gateway/RelayedReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/RelayedReportsTest.java
@@ -12,33 +12,33 @@
 /** Tests which reports a relay forwards. */
 final class RelayedReportsTest {
 
-    private final RelayedReports one = new RelayedReports("one");
+    private final RelayedReports firstRelay = new RelayedReports("one");
 
-    private final RelayedReports two = new RelayedReports("two");
+    private final RelayedReports secondRelay = new RelayedReports("two");
 
     @Test
     void testBatchHoldsTheCollectedReportsAndTheOwnReport() {
-        one.take(report("a"));
-        assertThat(ReportBatches.reports(one.batchWith(report("one"))))
+        firstRelay.add(report("a"));
+        assertThat(ReportBatches.reports(firstRelay.batchWith(report("one"))))
                 .containsExactly(report("a"), report("one"));
     }
 
     /** Guards against a forwarding loop between two relays of a failure domain. */
     @Test
     void testForwardedBatchIsNotForwardedAgain() {
-        one.take(ReportBatches.of("foreign", List.of(report("f"))));
-        List<ReportBatch> passedOn = one.fromOtherDomains();
-        assertThat(passedOn).hasSize(1);
-        passedOn.forEach(two::take);
-        assertThat(two.fromOtherDomains()).isEmpty();
+        firstRelay.add(ReportBatches.of("foreign", List.of(report("f"))));
+        List<ReportBatch> forwarded = firstRelay.fromOtherDomains();
+        assertThat(forwarded).hasSize(1);
+        forwarded.forEach(secondRelay::add);
+        assertThat(secondRelay.fromOtherDomains()).isEmpty();
     }
 
     @Test
     void testClearRemovesForwardedReports() {
-        one.take(ReportBatches.of("foreign", List.of(report("f"))));
-        one.clear();
-        assertThat(one.fromOtherDomains()).isEmpty();
-        assertThat(ReportBatches.reports(one.batchWith(report("one")))).hasSize(1);
+        firstRelay.add(ReportBatches.of("foreign", List.of(report("f"))));
+        firstRelay.clear();
+        assertThat(firstRelay.fromOtherDomains()).isEmpty();
+        assertThat(ReportBatches.reports(firstRelay.batchWith(report("one")))).hasSize(1);
     }
 
     private static GatewayReport report(String name) {
