--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -94,7 +94,7 @@
     private Optional<EngineRouting> engines = Optional.empty();
 
     /** Notices targets that send nothing, once the route is known. */
-    private SilenceWatch silence;
+    private StallDetector silence;
 
     /** When the request is given up, in milliseconds. */
     private long deadlineMillis;
@@ -175,7 +175,7 @@
         deadlineMillis = arrivedMillis + held;
         exchange.onLeave(this::left);
         timer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
-        silence = new SilenceWatch(core, route, this::silent);
+        silence = new StallDetector(core, route, this::silent);
         identity =
                 new RequestIdentity(
                         core.fingerprints(), exchange.request(), route, organisation.orElse(""));
--- a/src/main/java/org/martenwell/gateway/SilenceWatch.java
+++ b/src/main/java/org/martenwell/gateway/StallDetector.java
@@ -4,7 +4,7 @@
 import org.martenwell.route.Route;
 
 /** Detects attempts whose target sends nothing for longer than the route allows. */
-final class SilenceWatch {
+final class StallDetector {
 
     /** The least allowed silence of a target, in milliseconds. */
     private static final long MIN_SILENCE_MILLIS = 900;
@@ -33,7 +33,7 @@
      * @param listener Called with an attempt whose target is silent, repeatedly until the target
      *     sends or the attempt is over.
      */
-    SilenceWatch(GatewayCore core, Route route, Consumer<SendAttempt> listener) {
+    StallDetector(GatewayCore core, Route route, Consumer<SendAttempt> listener) {
         this.core = core;
         this.listener = listener;
         long objectives = OBJECTIVES_ALLOWED * route.objectiveMillis();
