--- a/src/main/java/org/martenwell/gateway/LoopLagLimiter.java
+++ b/src/main/java/org/martenwell/gateway/LoopLagLimiter.java
@@ -81,7 +81,7 @@
      *
      * @return {@code true} if it is refused.
      */
-    boolean refuses() {
+    boolean shouldRefuse() {
         double refusedFraction = refusedFraction();
         return refusedFraction > 0 && random.nextDouble() < refusedFraction;
     }
--- a/src/test/java/org/martenwell/gateway/LoopLagLimiterTest.java
+++ b/src/test/java/org/martenwell/gateway/LoopLagLimiterTest.java
@@ -89,7 +89,7 @@
     private int refused() {
         int refused = 0;
         for (int request = 0; request < 1_000; request++) {
-            refused += limiter.refuses() ? 1 : 0;
+            refused += limiter.shouldRefuse() ? 1 : 0;
         }
         return refused;
     }
