--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -91,7 +91,7 @@
 
     private final HeapMonitor heap;
 
-    private final LoopLagLimiter pressure;
+    private final LoopLagLimiter loopLag;
 
     /** Set shortly before the gateway exits, when new requests are refused. */
     private boolean closing;
@@ -134,7 +134,7 @@
                         reactor.currentTimeMillis());
         this.queue = new EngineQueue(reactor);
         this.heap = HeapMonitor.of(reactor, log);
-        this.pressure = new LoopLagLimiter(reactor, random);
+        this.loopLag = new LoopLagLimiter(reactor, random);
     }
 
     /**
@@ -367,8 +367,8 @@
     }
 
     /** {@return the limiter that refuses requests while the event loop lags} */
-    LoopLagLimiter pressure() {
-        return pressure;
+    LoopLagLimiter loopLag() {
+        return loopLag;
     }
 
     /** {@return {@code true} if new requests are refused because the gateway is about to exit} */
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -133,7 +133,7 @@
                 .then(directory::start)
                 .then(cachedPartsFollower::start)
                 .then(core.heap()::start)
-                .then(core.pressure()::start)
+                .then(core.loopLag()::start)
                 .then(stateLog::start)
                 .whenResult(() -> log.changed("gateway-listening", settings.callerAddress()));
     }
@@ -145,7 +145,7 @@
         return cachedPartsFollower
                 .stop()
                 .then(stateLog::stop)
-                .then(core.pressure()::stop)
+                .then(core.loopLag()::stop)
                 .then(core.heap()::stop)
                 .then(directory::stop)
                 .then(peerReporter::stop)
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -140,7 +140,7 @@
             answer(ErrorKind.DRAINING, RETRY_ELSEWHERE_SECONDS);
             return;
         }
-        if (core.heap().nearlyFull() || core.pressure().shouldRefuse()) {
+        if (core.heap().nearlyFull() || core.loopLag().shouldRefuse()) {
             answer(ErrorKind.ROUTER_FULL, RETRY_ELSEWHERE_SECONDS);
             return;
         }
--- a/src/main/java/org/martenwell/gateway/StateLog.java
+++ b/src/main/java/org/martenwell/gateway/StateLog.java
@@ -80,8 +80,8 @@
         LOGGER.info(
                 LogEvent.of("state")
                         .with("overMillis", now - writtenMillis)
-                        .with("lateMillis", core.pressure().takeMaxLagMillis())
-                        .with("refusedPart", core.pressure().refusedFraction())
+                        .with("lateMillis", core.loopLag().takeMaxLagMillis())
+                        .with("refusedPart", core.loopLag().refusedFraction())
                         .with("connections", connections.getAsInt())
                         .with("serving", core.activeRequests())
                         .with("waiting", core.queue().size())
