--- a/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
@@ -61,7 +61,7 @@
         Map<String, KnownTarget> owned = new HashMap<>();
         for (KnownTarget each : core.targets().all()) {
             String id = each.load().target().id();
-            if (core.keptCapacity(each.load()) > 0 && live.owns(id, core.now())) {
+            if (core.promptCacheCapacity(each.load()) > 0 && live.owns(id, core.now())) {
                 owned.put(id, each);
             }
         }
--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -51,7 +51,7 @@
      */
     void load(Collection<String> gateways) {
         for (KnownTarget each : core.targets().all()) {
-            boolean engine = core.keptCapacity(each.load()) > 0;
+            boolean engine = core.promptCacheCapacity(each.load()) > 0;
             if (engine && each.load().memory().isEmpty() && owns(each, gateways)) {
                 requestParts(each);
             }
@@ -108,7 +108,7 @@
         for (KeptPart each : core.dialect().keptParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
-            target.load().memory().keep(key, tokens, core.keptCapacity(target.load()));
+            target.load().memory().keep(key, tokens, core.promptCacheCapacity(target.load()));
             core.placed(new PlacedPart(incarnation, key, tokens));
         }
         core.log().changed("kept-parts", incarnation);
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -148,7 +148,7 @@
         core.log().keptCorrected(tokens > 0);
         core.placed(new PlacedPart(target.load().target().life(), key, tokens));
         if (tokens > 0) {
-            memory.keep(key, tokens, core.keptCapacity(target.load()));
+            memory.keep(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
             memory.drop(key);
         }
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -324,11 +324,11 @@
      * @param load The target.
      * @return The capacity in tokens, 0 for a target of a plain service.
      */
-    long keptCapacity(TargetLoad load) {
+    long promptCacheCapacity(TargetLoad load) {
         return configuration()
                 .flatMap(each -> each.service(load.target().service()))
                 .flatMap(ServiceTerms::engine)
-                .map(engine -> keptCapacity(engine, load))
+                .map(engine -> promptCacheCapacity(engine, load))
                 .orElse(0L);
     }
 
@@ -340,7 +340,7 @@
      * @param load The engine.
      * @return The capacity in tokens.
      */
-    private long keptCapacity(EngineTerms engine, TargetLoad load) {
+    private long promptCacheCapacity(EngineTerms engine, TargetLoad load) {
         long free = engine.memoryTokens() - load.all(now()).memoryTokens();
         return Math.max(engine.memoryTokens() / MIN_CACHE_DIVISOR, free);
     }
--- a/src/main/java/org/martenwell/gateway/PlacedPrompt.java
+++ b/src/main/java/org/martenwell/gateway/PlacedPrompt.java
@@ -53,7 +53,7 @@
         if (!keys.isEmpty()) {
             core.placed(load.target().life(), chain);
         }
-        load.memory().keep(chain, core.keptCapacity(load));
+        load.memory().keep(chain, core.promptCacheCapacity(load));
         return new PlacedPrompt(core, load, keys);
     }
 
--- a/src/main/java/org/martenwell/gateway/ReportReceiver.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -99,7 +99,7 @@
     private void updateCachedPart(TargetLoad load, PlacedPart part) {
         if (part.tokens() > 0) {
             core.sharedKeys().seen(part.key());
-            load.memory().keep(part.key(), part.tokens(), core.keptCapacity(load));
+            load.memory().keep(part.key(), part.tokens(), core.promptCacheCapacity(load));
         } else {
             load.memory().drop(part.key());
         }
