--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -350,7 +350,7 @@
      *
      * @return The changes since the last call.
      */
-    List<PlacedPart> takePlaced() {
+    List<PlacedPart> takeCacheUpdates() {
         List<PlacedPart> taken = cacheUpdates;
         cacheUpdates = new ArrayList<>();
         return taken;
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -56,7 +56,7 @@
             sharesSentMillis = now;
         }
         return build(
-                core.takePlaced(),
+                core.takeCacheUpdates(),
                 includeShares ? core.shares().own(core.now()) : ShareCounts.NONE,
                 core.harmful().takeNews(core.members()));
     }
--- a/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
+++ b/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
@@ -46,10 +46,10 @@
         load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
         PlacedPrompt placed = PlacedPrompt.at(core, load, chain);
         assertThat(load.memory().keptTokens(chain)).isEqualTo(300);
-        core.takePlaced();
+        core.takeCacheUpdates();
         placed.takeBack();
         assertThat(load.memory().keptTokens(chain)).isEqualTo(100);
-        assertThat(core.takePlaced())
+        assertThat(core.takeCacheUpdates())
                 .containsExactly(new PlacedPart("t@1", PromptChain.key("m", SPECIAL.id()), 0));
     }
 }
