--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -109,7 +109,7 @@
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().memory().keep(key, tokens, core.promptCacheCapacity(target.load()));
-            core.placed(new PlacedPart(incarnation, key, tokens));
+            core.queueCacheUpdate(new PlacedPart(incarnation, key, tokens));
         }
         core.log().changed("kept-parts", incarnation);
     }
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -146,7 +146,7 @@
             return;
         }
         core.log().keptCorrected(tokens > 0);
-        core.placed(new PlacedPart(target.load().target().life(), key, tokens));
+        core.queueCacheUpdate(new PlacedPart(target.load().target().life(), key, tokens));
         if (tokens > 0) {
             memory.keep(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -300,9 +300,9 @@
      * @param target The target's incarnation.
      * @param chain The shared parts of the prompt.
      */
-    void placed(String target, PromptChain chain) {
+    void queueCacheUpdate(String target, PromptChain chain) {
         for (int index = 0; index < chain.length(); index++) {
-            placed(new PlacedPart(target, chain.key(index), chain.tokens(index)));
+            queueCacheUpdate(new PlacedPart(target, chain.key(index), chain.tokens(index)));
         }
     }
 
@@ -312,7 +312,7 @@
      *
      * @param part The part that is cached or no longer cached.
      */
-    void placed(PlacedPart part) {
+    void queueCacheUpdate(PlacedPart part) {
         if (cacheUpdates.size() < MAX_PENDING_PARTS) {
             cacheUpdates.add(part);
         }
--- a/src/main/java/org/martenwell/gateway/PlacedPrompt.java
+++ b/src/main/java/org/martenwell/gateway/PlacedPrompt.java
@@ -51,7 +51,7 @@
             }
         }
         if (!keys.isEmpty()) {
-            core.placed(load.target().life(), chain);
+            core.queueCacheUpdate(load.target().life(), chain);
         }
         load.memory().keep(chain, core.promptCacheCapacity(load));
         return new PlacedPrompt(core, load, keys);
@@ -61,7 +61,7 @@
     void takeBack() {
         for (long key : keys) {
             if (load.memory().drop(key)) {
-                core.placed(new PlacedPart(load.target().life(), key, 0));
+                core.queueCacheUpdate(new PlacedPart(load.target().life(), key, 0));
             }
         }
     }
