--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -261,7 +261,7 @@
      * @return The time until the first rest of a target ends, in seconds, if any rests.
      */
     private double noTargetSeconds(long now) {
-        OptionalLong rest = core.targets().firstRestMillis(service, now);
+        OptionalLong rest = core.targets().minPauseMillis(service, now);
         return rest.isPresent()
                 ? Math.max(RETRY_SOON_SECONDS, rest.getAsLong() / SECOND_MILLIS)
                 : RETRY_SOON_SECONDS;
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -240,7 +240,7 @@
      * @param now The current time, in milliseconds.
      * @return The time in milliseconds; empty if no target is paused, apart from draining ones.
      */
-    OptionalLong firstRestMillis(String service, long now) {
+    OptionalLong minPauseMillis(String service, long now) {
         return targets.values().stream()
                 .map(KnownTarget::load)
                 .filter(each -> each.target().service().equals(service))
