--- a/src/main/java/org/martenwell/gateway/ReportReceiver.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -43,7 +43,7 @@
         report.placed().forEach(this::updateCachedPart);
         core.harmful().heard(report.quarantine());
         for (String incarnation : report.leaving()) {
-            core.targets().leavingByPeer(incarnation, core.now());
+            core.targets().markLeavingByPeer(incarnation, core.now());
         }
     }
 
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -176,7 +176,7 @@
      * @param incarnation The target's incarnation.
      * @param now The current time, in milliseconds.
      */
-    void leavingByPeer(String incarnation, long now) {
+    void markLeavingByPeer(String incarnation, long now) {
         markLeaving(incarnation, NoticeSource.PEER, now);
     }
 
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -73,7 +73,7 @@
             case 2 -> lapse(id);
             case 3 -> {
                 String life = id + "@" + random.nextInt(3);
-                table.leavingByPeer(life, now);
+                table.markLeavingByPeer(life, now);
                 left.add(life);
             }
             default -> answer(random);
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -83,7 +83,7 @@
 
     @Test
     void testDrainedTargetAcceptsRequestsAfterARestart() {
-        core.targets().leavingByPeer(incarnation(), 1);
+        core.targets().markLeavingByPeer(incarnation(), 1);
         updateDirectory(target(5, true));
         updateDirectory(target(6, false));
         assertThat(core.targets().open(GatewayCores.SERVICE, List.of(), 1)).hasSize(1);
--- a/src/test/java/org/martenwell/gateway/TargetTableTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetTableTest.java
@@ -28,7 +28,7 @@
     @BeforeEach
     void start() {
         table.update(Map.of("one", target("one", false), "two", target("two", false)));
-        table.leavingByPeer("one@1", 0);
+        table.markLeavingByPeer("one@1", 0);
     }
 
     @Test
@@ -50,7 +50,7 @@
     void testDirectoryThatDoesNotConfirmIsReadAgainOnce() {
         assertThat(table.detectStaleDirectory(LAG_MILLIS)).isTrue();
         assertThat(table.detectStaleDirectory(LAG_MILLIS + 1)).isFalse();
-        table.leavingByPeer("one@1", LAG_MILLIS);
+        table.markLeavingByPeer("one@1", LAG_MILLIS);
         assertThat(table.detectStaleDirectory(3 * LAG_MILLIS)).isFalse();
     }
 
@@ -68,7 +68,7 @@
     @Test
     void testEvictedTargetStillDrains() {
         for (int other = 0; other < 3_000; other++) {
-            table.leavingByPeer("other-" + other + "@1", 0);
+            table.markLeavingByPeer("other-" + other + "@1", 0);
         }
         table.update(Map.of("one", target("one", false), "two", target("two", true)));
         assertThat(table.open("service", List.of(), 0)).isEmpty();
