--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void ended(KnownTarget target) {
+    public void crashed(KnownTarget target) {
         harmful.targetEnded(target);
     }
 
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -99,7 +99,7 @@
         if (targets.containsKey(entry.id())) {
             removeTarget(entry.id());
         }
-        findByAddress(entry.address()).ifPresent(listener::ended);
+        findByAddress(entry.address()).ifPresent(listener::crashed);
         KnownTarget created = create(entry);
         targets.put(entry.id(), created);
         targetsByIncarnation.put(entry.life(), created);
@@ -152,7 +152,7 @@
         KnownTarget gone = targets.remove(id);
         targetsByIncarnation.remove(gone.load().target().life());
         if (!gone.load().availability().leaves()) {
-            listener.ended(gone);
+            listener.crashed(gone);
         }
         gone.connections().close();
     }
--- a/src/main/java/org/martenwell/gateway/TargetTableListener.java
+++ b/src/main/java/org/martenwell/gateway/TargetTableListener.java
@@ -13,7 +13,7 @@
      *
      * @param target The crashed target.
      */
-    void ended(KnownTarget target);
+    void crashed(KnownTarget target);
 
     /**
      * Called when a target is first known to drain.
--- a/src/test/java/org/martenwell/gateway/EndedTargets.java
+++ b/src/test/java/org/martenwell/gateway/EndedTargets.java
@@ -6,11 +6,11 @@
 import org.martenwell.balance.TargetLoad;
 
 /** Hands on in tests which targets ended, and nothing else. */
-record EndedTargets(Consumer<KnownTarget> ended) implements TargetTableListener {
+record EndedTargets(Consumer<KnownTarget> crashed) implements TargetTableListener {
 
     @Override
-    public void ended(KnownTarget target) {
-        ended.accept(target);
+    public void crashed(KnownTarget target) {
+        crashed.accept(target);
     }
 
     @Override
