--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -168,8 +168,8 @@
             return Optional.empty();
         }
         PromptKeepers keepers = PromptKeepers.of(need.chain(), allowed, handingOver(open, allowed));
-        double unseen = core.unseen().perTarget(open.size(), now);
-        return chooser.choose(need, tier, candidates, keepers, engine, rate, unseen, now);
+        double unreportedWork = core.unreportedWork().perTarget(open.size(), now);
+        return chooser.choose(need, tier, candidates, keepers, engine, rate, unreportedWork, now);
     }
 
     /**
@@ -199,7 +199,8 @@
             counted = Optional.of(new Counted(tier, core.now()));
         }
         double promptMillis = core.targets().rate(service).millis(choice.unreadTokens());
-        core.unseen().sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
+        core.unreportedWork()
+                .sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, need.cost());
         }
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -49,7 +49,7 @@
     private final EngineChooser engines;
 
     /** Estimates the load that peers put on engines since their last reports. */
-    private final UnseenWork unseen = new UnseenWork();
+    private final UnseenWork unreportedWork = new UnseenWork();
 
     /** Reserves engines for requests within fair shares. */
     private final EngineReserve reserve = new EngineReserve();
@@ -212,8 +212,8 @@
     }
 
     /** {@return the estimate of the load that peers put on engines since their last reports} */
-    UnseenWork unseen() {
-        return unseen;
+    UnseenWork unreportedWork() {
+        return unreportedWork;
     }
 
     /** {@return the reservation of engines for requests within fair shares} */
@@ -281,7 +281,7 @@
      */
     void updateFleet(int count, double ageMillis) {
         members = count;
-        unseen.fleet(count - 1, ageMillis);
+        unreportedWork.fleet(count - 1, ageMillis);
     }
 
     /** {@return the number of gateways in the fleet, including this one} */
