--- a/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
@@ -17,7 +17,7 @@
     private final GatewayCore core;
 
     /** Determines the engines that this gateway owns. */
-    private final LivePeers live;
+    private final LivePeers livePeers;
 
     /** The followed engines by id. */
     private final Map<String, FollowedEngine> followed = new HashMap<>();
@@ -28,11 +28,11 @@
      * Creates a follower without engines.
      *
      * @param core The gateway's state.
-     * @param live Determines the engines that this gateway owns.
+     * @param livePeers Determines the engines that this gateway owns.
      */
-    CachedPartsFollower(GatewayCore core, LivePeers live) {
+    CachedPartsFollower(GatewayCore core, LivePeers livePeers) {
         this.core = core;
-        this.live = live;
+        this.livePeers = livePeers;
     }
 
     @Override
@@ -61,7 +61,7 @@
         Map<String, KnownTarget> owned = new HashMap<>();
         for (KnownTarget each : core.targets().all()) {
             String id = each.load().target().id();
-            if (core.promptCacheCapacity(each.load()) > 0 && live.owns(id, core.now())) {
+            if (core.promptCacheCapacity(each.load()) > 0 && livePeers.owns(id, core.now())) {
                 owned.put(id, each);
             }
         }
--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -77,9 +77,9 @@
      * @param target The engine.
      */
     private void requestParts(KnownTarget target) {
-        long rest = target.load().availability().restMillis(core.now());
-        if (rest > 0) {
-            core.reactor().delayBackground(rest, () -> requestParts(target));
+        long pauseMillis = target.load().availability().restMillis(core.now());
+        if (pauseMillis > 0) {
+            core.reactor().delayBackground(pauseMillis, () -> requestParts(target));
             return;
         }
         HttpCaller caller = core.targets().caller(target);
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -117,7 +117,7 @@
         this.peerReporter = new PeerReporter(reactor, settings, core, random);
         this.directory = deployment.directory(reactor, settings, this);
         this.cachedPartsLoader = new CachedPartsLoader(core, settings.name());
-        this.cachedPartsFollower = new CachedPartsFollower(core, peerReporter.live());
+        this.cachedPartsFollower = new CachedPartsFollower(core, peerReporter.livePeers());
         peerReporter.directory(directory);
         core.harmful().directory(directory);
     }
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -58,7 +58,7 @@
     private final ConfigurationCatchUp catchUp = new ConfigurationCatchUp();
 
     /** Tracks the peers that reported recently. */
-    private final LivePeers live;
+    private final LivePeers livePeers;
 
     /** Detects gateways that ended without leaving the directory. */
     private final DeadMemberDetector deadMembers = new DeadMemberDetector();
@@ -97,7 +97,7 @@
         this.core = core;
         this.reportBuilder = new ReportBuilder(core, name, random.nextLong());
         this.receiver = new ReportReceiver(core);
-        this.live = new LivePeers(name);
+        this.livePeers = new LivePeers(name);
         this.relayedReports = new RelayedReports(name);
         this.topology = new ReportTopology(name, settings.failureDomain());
         this.network =
@@ -153,8 +153,8 @@
     }
 
     /** {@return the peers that reported recently} */
-    LivePeers live() {
-        return live;
+    LivePeers livePeers() {
+        return livePeers;
     }
 
     /**
@@ -200,7 +200,7 @@
      */
     private boolean sendsSnapshotTo(String peer) {
         if (topology.relayed()) {
-            return !live.isLive(peer, core.now());
+            return !livePeers.isLive(peer, core.now());
         }
         long own = RendezvousHash.score(name, peer);
         long closer =
@@ -252,7 +252,7 @@
     private void receiveReport(GatewayReport report) {
         long now = core.now();
         String peer = report.gateway();
-        live.heard(peer, now);
+        livePeers.heard(peer, now);
         if (unlisted.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
             directory.refreshMembers();
         }
@@ -352,7 +352,7 @@
         if (stopped) {
             return;
         }
-        for (String each : deadMembers.findDead(addresses.keySet(), live, core.now())) {
+        for (String each : deadMembers.findDead(addresses.keySet(), livePeers, core.now())) {
             core.log().changed("member-gone", each);
             directory.removeMember(each);
         }
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -29,7 +29,7 @@
  * Guards against a target that restarts under the same id before its directory entry expires being
  * credited with the requests and the prompt cache of its former incarnation.
  */
-final class TargetLivesTest {
+final class TargetIncarnationTest {
 
     private static final String PEER = "peer";
 
