--- a/src/main/java/org/martenwell/gateway/ConfigurationCatchUp.java
+++ b/src/main/java/org/martenwell/gateway/ConfigurationCatchUp.java
@@ -7,10 +7,10 @@
  */
 final class ConfigurationCatchUp {
 
-    /** How long the store may take to deliver a version that a peer reported, in milliseconds. */
+    /** The time that the store has to deliver a version that a peer reported, in milliseconds. */
     private static final long STORE_GRACE_MILLIS = 120;
 
-    /** How long a peer may take to respond before another is asked, in milliseconds. */
+    /** The time that a peer has to respond before another is asked, in milliseconds. */
     private static final long ANSWER_TIMEOUT_MILLIS = 200;
 
     /** The newest version that a peer reported. */
--- a/src/main/java/org/martenwell/gateway/DeadMemberDetector.java
+++ b/src/main/java/org/martenwell/gateway/DeadMemberDetector.java
@@ -12,7 +12,7 @@
  */
 final class DeadMemberDetector {
 
-    /** How long a gateway must be silent to be considered dead, in milliseconds. */
+    /** The silence after which a gateway is considered dead, in milliseconds. */
     private static final long DEAD_AFTER_MILLIS = 30_000;
 
     /** The time since which a gateway is silent, in milliseconds. */
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -31,10 +31,10 @@
  */
 public final class GatewayDaemon implements ManagedService, DirectoryListener {
 
-    /** How long the load balancer may take to notice a failed readiness check, in milliseconds. */
+    /** The time that the load balancer has to notice a failed readiness check, in milliseconds. */
     private static final long BALANCER_DETECTION_MILLIS = 2_500;
 
-    /** How long before its deadline a shutdown ends, in milliseconds. */
+    /** The margin between the end of a shutdown and its deadline, in milliseconds. */
     private static final long STOP_MARGIN_MILLIS = 500;
 
     /** The interval at which a shutdown checks for requests in progress, in milliseconds. */
--- a/src/main/java/org/martenwell/gateway/LivePeers.java
+++ b/src/main/java/org/martenwell/gateway/LivePeers.java
@@ -7,7 +7,7 @@
 /** Tracks the gateways that reported recently and assigns each target to one of them. */
 final class LivePeers {
 
-    /** How long a gateway counts as live after its last report, in milliseconds. */
+    /** The time for which a gateway counts as live after its last report, in milliseconds. */
     private static final long LIVE_MILLIS = 1_500;
 
     private final String self;
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -28,7 +28,7 @@
     /** The interval of the check for dead gateways, in milliseconds. */
     private static final long MEMBER_CHECK_MILLIS = 5_000;
 
-    /** How long an urgent report waits for further changes, in milliseconds. */
+    /** The delay of an urgent report, which lets it include further changes, in milliseconds. */
     private static final long COALESCE_MILLIS = 5;
 
     /**
--- a/src/main/java/org/martenwell/gateway/RelaySelector.java
+++ b/src/main/java/org/martenwell/gateway/RelaySelector.java
@@ -13,7 +13,7 @@
  */
 final class RelaySelector {
 
-    /** How long a selected candidate may be silent, in milliseconds. */
+    /** The silence after which a selected candidate is suspected to be down, in milliseconds. */
     private static final long SUSPECT_AFTER_MILLIS = 700;
 
     /** The candidates, the best first. */
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -44,8 +44,8 @@
     /**
      * Builds a regular report, with the changes of prompt caches since the last one.
      *
-     * @param largeFleet Whether to leave shares out of most reports. Peers keep the shares of an
-     *     earlier report if one has none.
+     * @param largeFleet {@code true} to leave shares out of most reports. Peers keep the shares of
+     *     an earlier report if one has none.
      * @return The report.
      */
     GatewayReport next(boolean largeFleet) {
--- a/src/main/java/org/martenwell/gateway/ReportTopology.java
+++ b/src/main/java/org/martenwell/gateway/ReportTopology.java
@@ -40,7 +40,7 @@
     private static final double RELAYED_AGE_INTERVALS = 1.5;
 
     /**
-     * How long a gateway acts as a relay after a report was last sent to it as one, in
+     * The time for which a gateway acts as a relay after a report was last sent to it as one, in
      * milliseconds.
      */
     private static final long RELAY_ROLE_MILLIS = 500;
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -45,7 +45,7 @@
     private final Map<String, ReadingRate> rates = new HashMap<>();
 
     /**
-     * How long the directory may lag behind peers in reporting that a target drains, in
+     * The time that the directory may lag behind peers in reporting that a target drains, in
      * milliseconds. Twice the batching delay of directory changes in the largest fleet.
      */
     private static final long DIRECTORY_LAG_MILLIS = 1_500;
--- a/src/main/java/org/martenwell/gateway/UnlistedPeers.java
+++ b/src/main/java/org/martenwell/gateway/UnlistedPeers.java
@@ -20,7 +20,7 @@
      *
      * @param gateway The name of the gateway.
      * @param incarnation The gateway's incarnation.
-     * @param isListed Whether the directory lists a gateway of that name.
+     * @param isListed {@code true} if the directory lists a gateway of that name.
      * @return {@code true} if the gateway has joined since the directory was read.
      */
     boolean joined(String gateway, long incarnation, boolean isListed) {
