--- a/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
+++ b/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
@@ -43,9 +43,9 @@
             }
         }
         if (!addedKeys.isEmpty()) {
-            core.placed(load.target().life(), chain);
+            core.queueCacheUpdate(load.target().life(), chain);
         }
-        load.memory().keep(chain, core.keptCapacity(load));
+        load.memory().keep(chain, core.promptCacheCapacity(load));
         return new AssumedCacheEntries(core, load, addedKeys);
     }
 
@@ -53,7 +53,7 @@
     void rollBack() {
         for (long key : addedKeys) {
             if (load.memory().drop(key)) {
-                core.placed(new PlacedPart(load.target().life(), key, 0));
+                core.queueCacheUpdate(new PlacedPart(load.target().life(), key, 0));
             }
         }
     }
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -121,9 +121,9 @@
             return;
         }
         core.log().cacheEntryCorrected(tokens > 0);
-        core.placed(new PlacedPart(target.load().target().life(), key, tokens));
+        core.queueCacheUpdate(new PlacedPart(target.load().target().life(), key, tokens));
         if (tokens > 0) {
-            memory.keep(key, tokens, core.keptCapacity(target.load()));
+            memory.keep(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
             memory.drop(key);
         }
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -165,7 +165,7 @@
         }
         PromptKeepers cacheLookup =
                 PromptKeepers.of(need.chain(), allowed, copySources(open, allowed));
-        double unreportedWork = core.unseen().perTarget(open.size(), now);
+        double unreportedWork = core.unreportedWork().perTarget(open.size(), now);
         return chooser.choose(
                 need, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
     }
@@ -198,7 +198,8 @@
             charge = Optional.of(new ShareCharge(tier, core.now()));
         }
         double promptMillis = core.targets().rate(service).millis(choice.unreadTokens());
-        core.unseen().sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
+        core.unreportedWork()
+                .sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, need.cost());
         }
--- /dev/null
+++ b/src/main/java/org/martenwell/gateway/LoopLagLimiter.java
@@ -0,0 +1,123 @@
+package org.martenwell.gateway;
+
+import io.activej.promise.Promise;
+import io.activej.reactor.nio.NioReactor;
+import java.util.Random;
+import org.martenwell.service.ManagedService;
+
+/**
+ * Refuses a fraction of new requests while the event loop lags. Without it, a small box that many
+ * callers are connected to accepts more than it has processor time for and serves every request
+ * late; refused callers retry at other gateways. The fraction grows with the lag, so it settles
+ * where the box keeps up.
+ */
+final class LoopLagLimiter implements ManagedService {
+
+    /** The interval at which the lag is sampled, in milliseconds. */
+    private static final long SAMPLE_INTERVAL_MILLIS = 25;
+
+    /**
+     * The weight of the last sample in the mean, low enough that a single garbage collection
+     * refuses nothing.
+     */
+    private static final double SMOOTHING_FACTOR = 0.2;
+
+    /**
+     * The mean lag above which requests are refused, in milliseconds; a few iterations of a busy
+     * loop, and small against latency objectives of 250 ms and more.
+     */
+    private static final double REFUSAL_START_MILLIS = 30;
+
+    /** The mean lag at which nearly all requests are refused, in milliseconds. */
+    private static final double REFUSAL_FULL_MILLIS = 130;
+
+    /**
+     * The largest fraction of refused requests. Some are always accepted, so that the lag still
+     * reflects the cost of serving them.
+     */
+    private static final double MAX_REFUSED_FRACTION = 0.95;
+
+    private final NioReactor reactor;
+
+    /** Selects the requests to refuse. */
+    private final Random random;
+
+    /** The time for which the next sample is scheduled, in milliseconds. */
+    private long dueMillis;
+
+    /** The exponentially weighted mean of the lag, in milliseconds. */
+    private double meanLagMillis;
+
+    /** The largest lag since it was last taken, in milliseconds. */
+    private long maxLagMillis;
+
+    private boolean stopped;
+
+    /**
+     * Creates a limiter that refuses nothing yet.
+     *
+     * @param reactor The event loop.
+     * @param random Selects the requests to refuse.
+     */
+    LoopLagLimiter(NioReactor reactor, Random random) {
+        this.reactor = reactor;
+        this.random = random;
+    }
+
+    @Override
+    public Promise<Void> start() {
+        scheduleSample();
+        return Promise.complete();
+    }
+
+    @Override
+    public Promise<Void> stop() {
+        stopped = true;
+        return Promise.complete();
+    }
+
+    /**
+     * Decides whether to refuse a new request.
+     *
+     * @return {@code true} if it is refused.
+     */
+    boolean shouldRefuse() {
+        double refusedFraction = refusedFraction();
+        return refusedFraction > 0 && random.nextDouble() < refusedFraction;
+    }
+
+    /** {@return the fraction of new requests that is refused, from 0 to 1} */
+    double refusedFraction() {
+        double refusedFraction =
+                (meanLagMillis - REFUSAL_START_MILLIS)
+                        / (REFUSAL_FULL_MILLIS - REFUSAL_START_MILLIS);
+        return Math.min(MAX_REFUSED_FRACTION, Math.max(0, refusedFraction));
+    }
+
+    /**
+     * Returns the largest lag since the last call.
+     *
+     * @return The lag in milliseconds.
+     */
+    long takeMaxLagMillis() {
+        long maxMillis = maxLagMillis;
+        maxLagMillis = 0;
+        return maxMillis;
+    }
+
+    /** Samples the lag and schedules the next sample. */
+    private void sample() {
+        if (stopped) {
+            return;
+        }
+        long lagMillis = Math.max(0, reactor.currentTimeMillis() - dueMillis);
+        meanLagMillis += SMOOTHING_FACTOR * (lagMillis - meanLagMillis);
+        maxLagMillis = Math.max(maxLagMillis, lagMillis);
+        scheduleSample();
+    }
+
+    private void scheduleSample() {
+        dueMillis = reactor.currentTimeMillis() + SAMPLE_INTERVAL_MILLIS;
+        reactor.delayBackground(SAMPLE_INTERVAL_MILLIS, this::sample);
+    }
+}
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -86,7 +86,7 @@
     private Optional<EngineRouting> engines = Optional.empty();
 
     /** The watch on silent targets, or {@code null} until the route is selected. */
-    private SilenceWatch silence;
+    private StallDetector silence;
 
     /** The time at which the request times out, in milliseconds. */
     private long deadlineMillis;
@@ -127,7 +127,7 @@
             respond(ErrorKind.DRAINING, RETRY_ELSEWHERE_SECONDS);
             return;
         }
-        if (core.heap().nearlyFull() || core.pressure().refuses()) {
+        if (core.heap().nearlyFull() || core.loopLag().shouldRefuse()) {
             respond(ErrorKind.ROUTER_FULL, RETRY_ELSEWHERE_SECONDS);
             return;
         }
@@ -161,7 +161,7 @@
         deadlineMillis = arrivedMillis + timeout;
         exchange.onLeave(this::callerDisconnected);
         deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
-        silence = new SilenceWatch(core, route, this::targetSilent);
+        silence = new StallDetector(core, route, this::targetSilent);
         identity =
                 new RequestIdentity(
                         core.fingerprints(), exchange.request(), route, organisation.orElse(""));
@@ -248,7 +248,7 @@
      *     that is longer or no target is paused.
      */
     private double noTargetRetrySeconds(long now) {
-        OptionalLong pause = core.targets().firstRestMillis(service, now);
+        OptionalLong pause = core.targets().minPauseMillis(service, now);
         return pause.isPresent()
                 ? Math.max(RETRY_CAPACITY_SECONDS, pause.getAsLong() / MILLIS_PER_SECOND)
                 : RETRY_CAPACITY_SECONDS;
--- a/src/test/java/org/martenwell/gateway/RelayedReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/RelayedReportsTest.java
@@ -9,36 +9,36 @@
 import org.martenwell.peer.ReportBatches;
 import org.martenwell.share.ShareCounts;
 
-/** Tests what relays pass on. */
+/** Tests which reports a relay forwards. */
 final class RelayedReportsTest {
 
-    private final RelayedReports one = new RelayedReports("one");
+    private final RelayedReports firstRelay = new RelayedReports("one");
 
-    private final RelayedReports two = new RelayedReports("two");
+    private final RelayedReports secondRelay = new RelayedReports("two");
 
     @Test
-    void testBatchHoldsWhatWasGatheredAndTheOwnReport() {
-        one.take(report("a"));
-        assertThat(ReportBatches.reports(one.batchWith(report("one"))))
+    void testBatchHoldsTheCollectedReportsAndTheOwnReport() {
+        firstRelay.add(report("a"));
+        assertThat(ReportBatches.reports(firstRelay.batchWith(report("one"))))
                 .containsExactly(report("a"), report("one"));
     }
 
-    /** Relays that passed each other's batches on again sent them to and fro for ever. */
+    /** Guards against a forwarding loop between two relays of a failure domain. */
     @Test
-    void testTwoRelaysOfOneDomainDoNotSendABatchToEachOtherForEver() {
-        one.take(ReportBatches.of("foreign", List.of(report("f"))));
-        List<ReportBatch> passedOn = one.foreign();
-        assertThat(passedOn).hasSize(1);
-        passedOn.forEach(two::take);
-        assertThat(two.foreign()).isEmpty();
+    void testForwardedBatchIsNotForwardedAgain() {
+        firstRelay.add(ReportBatches.of("foreign", List.of(report("f"))));
+        List<ReportBatch> forwarded = firstRelay.fromOtherDomains();
+        assertThat(forwarded).hasSize(1);
+        forwarded.forEach(secondRelay::add);
+        assertThat(secondRelay.fromOtherDomains()).isEmpty();
     }
 
     @Test
-    void testWhatWasPassedOnIsForgotten() {
-        one.take(ReportBatches.of("foreign", List.of(report("f"))));
-        one.clear();
-        assertThat(one.foreign()).isEmpty();
-        assertThat(ReportBatches.reports(one.batchWith(report("one")))).hasSize(1);
+    void testClearRemovesForwardedReports() {
+        firstRelay.add(ReportBatches.of("foreign", List.of(report("f"))));
+        firstRelay.clear();
+        assertThat(firstRelay.fromOtherDomains()).isEmpty();
+        assertThat(ReportBatches.reports(firstRelay.batchWith(report("one")))).hasSize(1);
     }
 
     private static GatewayReport report(String name) {
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -73,7 +73,7 @@
             case 2 -> remove(id);
             case 3 -> {
                 String incarnation = id + "@" + random.nextInt(3);
-                table.leavingByPeer(incarnation, now);
+                table.markLeavingByPeer(incarnation, now);
                 draining.add(incarnation);
             }
             default -> receiveNotice(random);
--- a/src/test/java/org/martenwell/gateway/TargetEndListener.java
+++ b/src/test/java/org/martenwell/gateway/TargetEndListener.java
@@ -9,8 +9,8 @@
 record TargetEndListener(Consumer<KnownTarget> ended) implements TargetTableListener {
 
     @Override
-    public void ended(KnownTarget target) {
-        ended.accept(target);
+    public void crashed(KnownTarget target) {
+        crashed.accept(target);
     }
 
     @Override
