--- a/src/main/java/org/martenwell/schedule/Assignment.java
+++ b/src/main/java/org/martenwell/schedule/Assignment.java
@@ -1,10 +1,10 @@
 package org.martenwell.schedule;
 
 /**
- * A request that got a slot.
+ * Request that received a slot.
  *
  * @param request The request.
  * @param slot The slot.
- * @param reason Why this target.
+ * @param reason The reason for choosing the target.
  */
 public record Assignment(WaitingRequest request, Slot slot, AssignmentReason reason) {}
--- a/src/main/java/org/martenwell/schedule/AssignmentReason.java
+++ b/src/main/java/org/martenwell/schedule/AssignmentReason.java
@@ -2,23 +2,25 @@
 
 import java.util.Locale;
 
-/** Why a request went to its target. */
+/** Reason for assigning a request to its target. */
 public enum AssignmentReason {
 
-    /** A slot was lent there and the target likely holds the prompt's prefix. */
+    /** The target had an idle lent slot and is likely to have cached the prompt's prefix. */
     LENT_PREFIX,
 
-    /** A slot was lent there and the target is the least loaded. */
+    /** The target had an idle lent slot and was the least loaded. */
     LENT_LEAST_LOADED,
 
-    /** The keeper granted a slot there and the target likely holds the prompt's prefix. */
+    /**
+     * The coordinator granted a slot and the target is likely to have cached the prompt's prefix.
+     */
     GRANTED_PREFIX,
 
-    /** The keeper granted a slot there. */
+    /** The coordinator granted a slot. */
     GRANTED;
 
     /**
-     * Returns the word used in logs.
+     * Returns the form used in logs.
      *
      * @return The constant's name in lower case, with hyphens.
      */
--- /dev/null
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReports.java
@@ -0,0 +1,256 @@
+package org.martenwell.schedule;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.martenwell.configuration.Pool;
+import org.martenwell.configuration.Target;
+
+/**
+ * Collects the changes of one router's queues and slots, and builds the reports to coordinators.
+ * Complete reports are sent periodically to make up for lost ones.
+ */
+final class CoordinatorReports {
+
+    private final String routerName;
+
+    private final long incarnation;
+
+    private final SchedulingParameters parameters;
+
+    private final QueueTable queues;
+
+    private final HeldSlots slots;
+
+    /** State of the reports to each coordinator. */
+    private final Map<KeeperReference, ReportState> reportStates = new LinkedHashMap<>();
+
+    /** Coordinators by target name. */
+    private Map<String, KeeperReference> keepers = Map.of();
+
+    /** Targets by pool. */
+    private Map<Pool, List<Target>> pools = Map.of();
+
+    /**
+     * Sequence number of the last report to any coordinator. One sequence for all keeps it
+     * increasing when a target changes its coordinator.
+     */
+    private long sequence;
+
+    /**
+     * Creates an instance without coordinators.
+     *
+     * @param routerName The router's name.
+     * @param incarnation The router's incarnation.
+     * @param parameters The scheduling parameters.
+     * @param queues The router's queues.
+     * @param slots The router's slots.
+     */
+    CoordinatorReports(
+            String routerName,
+            long incarnation,
+            SchedulingParameters parameters,
+            QueueTable queues,
+            HeldSlots slots) {
+        this.routerName = routerName;
+        this.incarnation = incarnation;
+        this.parameters = parameters;
+        this.queues = queues;
+        this.slots = slots;
+    }
+
+    /**
+     * Sets the coordinators. Each one receives a complete report next.
+     *
+     * @param assignment The coordinators by target name.
+     * @param targets The targets by pool.
+     */
+    void assign(Map<String, KeeperReference> assignment, Map<Pool, List<Target>> targets) {
+        keepers = Map.copyOf(assignment);
+        pools = targets;
+        reportStates.keySet().retainAll(keepers.values());
+        for (KeeperReference keeper : keepers.values()) {
+            reportStates.computeIfAbsent(keeper, key -> new ReportState()).requireComplete();
+        }
+    }
+
+    /**
+     * Makes the next report to a coordinator complete. Has no effect if it coordinates no target.
+     *
+     * @param keeper The coordinator.
+     */
+    void requireComplete(KeeperReference keeper) {
+        if (reportStates.containsKey(keeper)) {
+            reportStates.get(keeper).requireComplete();
+        }
+    }
+
+    /**
+     * Makes the next report to all incarnations of a coordinator complete.
+     *
+     * @param keeper The coordinator's name.
+     */
+    void requireComplete(String keeper) {
+        for (Map.Entry<KeeperReference, ReportState> entry : reportStates.entrySet()) {
+            if (entry.getKey().name().equals(keeper)) {
+                entry.getValue().requireComplete();
+            }
+        }
+    }
+
+    /**
+     * Marks a queue as changed for the coordinators of its pool's targets.
+     *
+     * @param key The queue.
+     */
+    void queueChanged(QueueKey key) {
+        for (Target target : pools.getOrDefault(key.pool(), List.of())) {
+            reportState(target.name()).ifPresent(reportState -> reportState.queueChanged(key));
+        }
+    }
+
+    /**
+     * Marks a slot class as changed for the target's coordinator.
+     *
+     * @param target The target's name.
+     * @param slotClass The slot class.
+     */
+    void slotChanged(String target, String slotClass) {
+        reportState(target)
+                .ifPresent(
+                        reportState ->
+                                reportState.slotChanged(new SlotClassKey(target, slotClass)));
+    }
+
+    /**
+     * Marks a target's failure count as changed for its coordinator.
+     *
+     * @param target The target's name.
+     */
+    void failuresChanged(String target) {
+        reportState(target).ifPresent(reportState -> reportState.failuresChanged(target));
+    }
+
+    /**
+     * Takes the pending reports.
+     *
+     * @param now The current time in milliseconds.
+     * @return The reports by coordinator; coordinators without changes are absent.
+     */
+    Map<KeeperReference, SlotReport> take(long now) {
+        Map<KeeperReference, SlotReport> reports = new LinkedHashMap<>();
+        for (Map.Entry<KeeperReference, ReportState> entry : reportStates.entrySet()) {
+            KeeperReference keeper = entry.getKey();
+            ReportState reportState = entry.getValue();
+            if (reportState.completeReportDue(now, parameters.completeReportIntervalMillis())) {
+                reports.put(keeper, buildCompleteReport(keeper, reportState, now));
+            } else {
+                changes(keeper, reportState, now).ifPresent(report -> reports.put(keeper, report));
+            }
+        }
+        return reports;
+    }
+
+    private Optional<ReportState> reportState(String target) {
+        return Optional.ofNullable(keepers.get(target)).map(reportStates::get);
+    }
+
+    /**
+     * Builds a report of all queues, slots and failures that concern a coordinator.
+     *
+     * @param keeper The coordinator.
+     * @param reportState The state of the reports to the coordinator.
+     * @param now The current time in milliseconds.
+     * @return The report.
+     */
+    private SlotReport buildCompleteReport(
+            KeeperReference keeper, ReportState reportState, long now) {
+        reportState.recordCompleteReport(now);
+        List<Demand> demands = new ArrayList<>();
+        for (QueueKey key : queues.keys()) {
+            if (coordinatesPool(keeper, key.pool())) {
+                QueueState current = queues.demand(key, parameters.maxReportedWaiting());
+                reportState.recordReported(key, current);
+                demands.add(current.message(key, now));
+            }
+        }
+        List<Holding> holdings = new ArrayList<>();
+        List<FailureCount> failures = new ArrayList<>();
+        for (TargetSlots targetSlots : slots.all()) {
+            if (targetSlots.keeper().equals(keeper)) {
+                holdings.addAll(slots.holdings(targetSlots));
+                slots.failureCount(targetSlots.target().name()).ifPresent(failures::add);
+            }
+        }
+        return report(keeper, true, demands, holdings, failures);
+    }
+
+    /**
+     * Builds a report of the changes since the last report.
+     *
+     * @param keeper The coordinator.
+     * @param reportState The state of the reports to the coordinator.
+     * @param now The current time in milliseconds.
+     * @return The report, or empty if nothing changed.
+     */
+    private Optional<SlotReport> changes(
+            KeeperReference keeper, ReportState reportState, long now) {
+        List<Demand> demands = new ArrayList<>();
+        for (QueueKey key : reportState.takeChangedQueues()) {
+            QueueState current = queues.demand(key, parameters.maxReportedWaiting());
+            if (reportState
+                    .reported(key)
+                    .needsReport(current, parameters.headShiftToleranceMillis())) {
+                reportState.recordReported(key, current);
+                demands.add(current.message(key, now));
+            }
+        }
+        List<Holding> holdings = new ArrayList<>();
+        for (SlotClassKey key : reportState.takeChangedSlots()) {
+            holdings.add(slots.holding(key));
+        }
+        List<FailureCount> failures = new ArrayList<>();
+        for (String target : reportState.takeChangedFailures()) {
+            slots.failureCount(target).ifPresent(failures::add);
+        }
+        if (demands.isEmpty() && holdings.isEmpty() && failures.isEmpty()) {
+            return Optional.empty();
+        }
+        return Optional.of(report(keeper, false, demands, holdings, failures));
+    }
+
+    /**
+     * Builds a report with the next sequence number.
+     *
+     * @param keeper The coordinator.
+     * @param complete {@code true} if queues and slots that are not listed are empty.
+     * @param demands The queues.
+     * @param holdings The slots.
+     * @param failures The failure counts.
+     * @return The report.
+     */
+    private SlotReport report(
+            KeeperReference keeper,
+            boolean complete,
+            List<Demand> demands,
+            List<Holding> holdings,
+            List<FailureCount> failures) {
+        sequence++;
+        return new SlotReport(
+                routerName,
+                incarnation,
+                keeper.incarnation(),
+                sequence,
+                complete,
+                demands,
+                holdings,
+                failures);
+    }
+
+    private boolean coordinatesPool(KeeperReference keeper, Pool pool) {
+        return pools.getOrDefault(pool, List.of()).stream()
+                .anyMatch(target -> keeper.equals(keepers.get(target.name())));
+    }
+}
--- a/src/main/java/org/martenwell/schedule/Demand.java
+++ b/src/main/java/org/martenwell/schedule/Demand.java
@@ -3,12 +3,13 @@
 import org.martenwell.configuration.Pool;
 
 /**
- * What a router tells a keeper of one of its queues.
+ * State of one queue of a router, as reported to coordinators.
  *
  * @param pool The pool that the requests wait for.
- * @param organisation The organisation that they belong to.
- * @param waiting How many wait, told no greater than the limit of {@link SchedulingParameters}.
- * @param urgency The urgency of the first one, in milliseconds: its wait so far plus its priority's
- *     head start.
+ * @param organisation The organisation that the requests belong to.
+ * @param waiting The number of waiting requests, capped by {@link
+ *     SchedulingParameters#maxReportedWaiting()}.
+ * @param urgency The effective wait of the first request in milliseconds: the time waited so far
+ *     plus the head start of its priority; 0 if no request waits.
  */
 public record Demand(Pool pool, String organisation, int waiting, long urgency) {}
--- a/src/main/java/org/martenwell/schedule/DemandTable.java
+++ b/src/main/java/org/martenwell/schedule/DemandTable.java
@@ -10,51 +10,51 @@
 import java.util.Set;
 import org.martenwell.configuration.Pool;
 
-/** What a keeper knows of the requests that wait at routers. */
+/** Queues of all routers, as reported to a coordinator. */
 final class DemandTable {
 
-    /** The queues by pool and organisation, each with its routers. */
+    /** Reported queues by key and router name. */
     private final Map<QueueKey, Map<String, RouterDemand>> queues = new HashMap<>();
 
-    /** The queues of each pool that have waiting requests. */
+    /** Keys of the non-empty queues, by pool and organisation. */
     private final Map<Pool, Map<String, QueueKey>> backlogged = new HashMap<>();
 
-    /** How many requests wait for each organisation, over all queues. */
+    /** Number of waiting requests by organisation, over all queues. */
     private final Map<String, Integer> waiting = new HashMap<>();
 
     /** Creates an empty table. */
     DemandTable() {}
 
     /**
-     * Takes in what a router told of one queue.
+     * Applies a router's report on one queue.
      *
-     * @param router The router.
-     * @param demand What it told.
-     * @param now The time.
+     * @param router The router's name.
+     * @param demand The reported queue.
+     * @param now The current time in milliseconds.
      */
     void receive(String router, Demand demand, long now) {
         QueueKey key = new QueueKey(demand.pool(), demand.organisation());
-        set(router, key, demand.waiting(), now - demand.urgency());
+        update(router, key, demand.waiting(), now - demand.urgency());
     }
 
     /**
-     * Forgets a router's queues.
+     * Removes all queues of a router.
      *
-     * @param router The router.
+     * @param router The router's name.
      */
     void drop(String router) {
         for (QueueKey key : List.copyOf(queues.keySet())) {
             if (queues.get(key).containsKey(router)) {
-                set(router, key, 0, 0);
+                update(router, key, 0, 0);
             }
         }
     }
 
     /**
-     * Returns the organisations that have requests waiting for any of the pools.
+     * Returns the non-empty queues of some pools.
      *
      * @param pools The pools.
-     * @return The queues.
+     * @return The keys of the queues.
      */
     List<QueueKey> backlogged(Collection<Pool> pools) {
         List<QueueKey> keys = new ArrayList<>();
@@ -64,32 +64,29 @@
         return keys;
     }
 
-    /**
-     * Returns the organisations that have any request waiting.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the organisations with waiting requests} */
     Set<String> organisations() {
         return waiting.keySet();
     }
 
     /**
-     * Picks the router with the most urgent request of a queue that has not been granted a slot
-     * yet.
+     * Finds the router with the most urgent request of a queue, among the routers with more waiting
+     * requests than unacknowledged grants.
      *
      * @param key The queue.
-     * @param unseen Tells how many grants are under way to a router.
-     * @return The router or empty if grants for all requests are under way.
+     * @param unacknowledged Returns the number of unacknowledged grants of a router.
+     * @return The router's name, or empty if all requests have grants.
      */
-    Optional<String> mostUrgent(QueueKey key, UnseenGrants unseen) {
+    Optional<String> mostUrgent(QueueKey key, UnacknowledgedGrants unacknowledged) {
         String chosen = null;
         long earliest = Long.MAX_VALUE;
         Map<String, RouterDemand> routers = queues.getOrDefault(key, Map.of());
         for (Map.Entry<String, RouterDemand> entry : routers.entrySet()) {
             RouterDemand demand = entry.getValue();
-            boolean open = demand.waiting() > unseen.count(entry.getKey(), key.organisation());
-            if (open && demand.urgentSince() < earliest) {
-                earliest = demand.urgentSince();
+            boolean hasUnallocated =
+                    demand.waiting() > unacknowledged.count(entry.getKey(), key.organisation());
+            if (hasUnallocated && demand.effectiveArrival() < earliest) {
+                earliest = demand.effectiveArrival();
                 chosen = entry.getKey();
             }
         }
@@ -97,57 +94,51 @@
     }
 
     /**
-     * Sets what one router has waiting in one queue.
+     * Replaces the state of one router's queue.
      *
-     * @param router The router.
+     * @param router The router's name.
      * @param key The queue.
-     * @param count How many requests wait.
-     * @param urgentSince Since when the first one is urgent.
+     * @param waitingCount The number of waiting requests; 0 removes the queue.
+     * @param effectiveArrival The effective arrival time of the first request.
      */
-    private void set(String router, QueueKey key, int count, long urgentSince) {
-        Map<String, RouterDemand> routers = queues.computeIfAbsent(key, any -> new HashMap<>());
-        RouterDemand before =
-                count == 0
+    private void update(String router, QueueKey key, int waitingCount, long effectiveArrival) {
+        Map<String, RouterDemand> routers = queues.computeIfAbsent(key, ignored -> new HashMap<>());
+        RouterDemand previous =
+                waitingCount == 0
                         ? routers.remove(router)
-                        : routers.put(router, new RouterDemand(count, urgentSince));
-        int change = count - (before == null ? 0 : before.waiting());
+                        : routers.put(router, new RouterDemand(waitingCount, effectiveArrival));
+        int change = waitingCount - (previous == null ? 0 : previous.waiting());
         addWaiting(key.organisation(), change);
-        Map<String, QueueKey> ofPool =
-                backlogged.computeIfAbsent(key.pool(), any -> new HashMap<>());
+        Map<String, QueueKey> queuesOfPool =
+                backlogged.computeIfAbsent(key.pool(), ignored -> new HashMap<>());
         if (routers.isEmpty()) {
             queues.remove(key);
-            ofPool.remove(key.organisation());
+            queuesOfPool.remove(key.organisation());
         } else {
-            ofPool.put(key.organisation(), key);
+            queuesOfPool.put(key.organisation(), key);
         }
     }
 
-    /**
-     * Changes how many requests wait for an organisation.
-     *
-     * @param organisation The organisation.
-     * @param change The change.
-     */
     private void addWaiting(String organisation, int change) {
-        int sum = waiting.getOrDefault(organisation, 0) + change;
-        if (sum <= 0) {
+        int total = waiting.getOrDefault(organisation, 0) + change;
+        if (total <= 0) {
             waiting.remove(organisation);
         } else {
-            waiting.put(organisation, sum);
+            waiting.put(organisation, total);
         }
     }
 
     /**
-     * Keeps only the queues of known pools.
+     * Removes all queues of pools that no longer exist.
      *
-     * @param pools The known pools.
+     * @param pools The pools to keep.
      */
     void retainPools(Set<Pool> pools) {
         Iterator<QueueKey> keys = List.copyOf(queues.keySet()).iterator();
         while (keys.hasNext()) {
             QueueKey key = keys.next();
             if (!pools.contains(key.pool())) {
-                List.copyOf(queues.get(key).keySet()).forEach(router -> set(router, key, 0, 0));
+                List.copyOf(queues.get(key).keySet()).forEach(router -> update(router, key, 0, 0));
             }
         }
     }
--- a/src/main/java/org/martenwell/schedule/EqualTerms.java
+++ b/src/main/java/org/martenwell/schedule/EqualTerms.java
@@ -1,6 +1,6 @@
 package org.martenwell.schedule;
 
-/** Weight 1 and no ceiling for everyone. */
+/** Contract terms with weight 1 and no concurrency limit for every organisation. */
 public enum EqualTerms implements OrganisationTerms {
 
     /** The only instance. */
--- a/src/main/java/org/martenwell/schedule/FailureCount.java
+++ b/src/main/java/org/martenwell/schedule/FailureCount.java
@@ -1,9 +1,9 @@
 package org.martenwell.schedule;
 
 /**
- * How many of a router's requests failed at a target.
+ * Number of a router's requests that failed at a target.
  *
- * @param target The target.
- * @param total The total since the router's start, never falling.
+ * @param target The target's name.
+ * @param total The total since the router's start; never decreases.
  */
 public record FailureCount(String target, long total) {}
--- a/src/main/java/org/martenwell/schedule/GrantListener.java
+++ b/src/main/java/org/martenwell/schedule/GrantListener.java
@@ -1,14 +1,14 @@
 package org.martenwell.schedule;
 
-/** Is told of the decisions of a keeper. */
+/** Listener for the grant decisions of a coordinator. */
 @FunctionalInterface
 public interface GrantListener {
 
-    /** Ignores all decisions. */
+    /** A listener that ignores all decisions. */
     GrantListener NO_OP = decision -> {};
 
     /**
-     * Called after a slot was granted to an organisation.
+     * Called after a slot was granted to an organisation. Lent slots are not announced.
      *
      * @param decision The decision.
      */
--- a/src/main/java/org/martenwell/schedule/HeldSlots.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlots.java
@@ -9,147 +9,144 @@
 import java.util.TreeMap;
 import org.martenwell.configuration.Target;
 
-/** The slots that one router holds at all targets, and the requests that run in them. */
+/** Slots that one router holds at all targets, and counts of the requests that run in them. */
 final class HeldSlots implements TargetLoads {
 
-    /** The slots by target. */
-    private final Map<String, HeldShare> shares = new TreeMap<>();
+    private final Map<String, TargetSlots> slotsByTarget = new TreeMap<>();
 
-    /** The requests that run now, by target and organisation. */
-    private final Map<GrantKey, Integer> running = new HashMap<>();
+    /** Number of running requests, by target and organisation. */
+    private final Map<SlotClassKey, Integer> running = new HashMap<>();
 
-    /** The requests that run now, by target. */
-    private final Map<String, Integer> runningAt = new HashMap<>();
+    private final Map<String, Integer> runningByTarget = new HashMap<>();
 
-    /** The failed requests since the start, by target. */
-    private final Map<String, Long> failures = new TreeMap<>();
+    /** Number of failed requests since the start, by target. */
+    private final Map<String, Long> failureCounts = new TreeMap<>();
 
-    /** Creates an account without slots. */
+    /** Creates an instance without slots. */
     HeldSlots() {}
 
     /**
-     * Changes the targets and their keepers. Idle slots of earlier keepers are dropped; requests
-     * that run go on.
+     * Sets the targets and their coordinators. Idle slots of previous coordinators are dropped;
+     * running requests continue.
      *
      * @param targets All targets.
-     * @param keepers The keeper of each target, by target.
+     * @param keepers The coordinators by target name.
      */
     void assign(List<Target> targets, Map<String, KeeperReference> keepers) {
-        Map<String, HeldShare> kept = new TreeMap<>();
+        Map<String, TargetSlots> assigned = new TreeMap<>();
         for (Target target : targets) {
             KeeperReference keeper = keepers.get(target.name());
-            HeldShare share = shares.get(target.name());
+            TargetSlots targetSlots = slotsByTarget.get(target.name());
             if (keeper != null) {
-                boolean same = share != null && share.keeper().equals(keeper);
-                kept.put(target.name(), same ? share : new HeldShare(target, keeper));
+                boolean unchanged = targetSlots != null && targetSlots.keeper().equals(keeper);
+                assigned.put(
+                        target.name(), unchanged ? targetSlots : new TargetSlots(target, keeper));
             }
         }
-        shares.clear();
-        shares.putAll(kept);
+        slotsByTarget.clear();
+        slotsByTarget.putAll(assigned);
     }
 
     /**
      * Finds the slots at a target.
      *
      * @param target The target's name.
-     * @return The slots or empty if the target has no keeper.
+     * @return The slots, or empty if the target has no coordinator.
      */
-    Optional<HeldShare> find(String target) {
-        return Optional.ofNullable(shares.get(target));
+    Optional<TargetSlots> find(String target) {
+        return Optional.ofNullable(slotsByTarget.get(target));
     }
 
-    /**
-     * Returns the slots at all targets.
-     *
-     * @return The slots.
-     */
-    Collection<HeldShare> all() {
-        return shares.values();
+    /** {@return the slots at each target that has a coordinator} */
+    Collection<TargetSlots> all() {
+        return slotsByTarget.values();
     }
 
     /**
-     * Returns whether a lent slot is idle at a target.
+     * Checks whether a target has an idle lent slot.
      *
      * @param target The target.
-     * @return {@code true} if one is.
+     * @return {@code true} if at least one lent slot is idle.
      */
     boolean hasIdleLent(Target target) {
         return find(target.name())
-                .filter(share -> share.totals(SlotClass.ANY).idle() > 0)
+                .filter(targetSlots -> targetSlots.totals(SlotClass.ANY).idle() > 0)
                 .isPresent();
     }
 
     /**
      * Takes an idle slot into use.
      *
-     * @param share The slots at the target.
+     * @param targetSlots The slots at the target.
      * @param slotClass The class of the slot.
-     * @param organisation The organisation that uses it.
+     * @param organisation The organisation of the request.
      * @return The slot.
      */
-    Slot use(HeldShare share, String slotClass, String organisation) {
-        String target = share.target().name();
-        share.totals(slotClass).use();
-        share.addRunning(organisation, 1);
-        running.merge(new GrantKey(target, organisation), 1, Integer::sum);
-        runningAt.merge(target, 1, Integer::sum);
-        return new Slot(share, share.term(), slotClass, organisation);
+    Slot use(TargetSlots targetSlots, String slotClass, String organisation) {
+        String target = targetSlots.target().name();
+        targetSlots.totals(slotClass).use();
+        targetSlots.addRunning(organisation, 1);
+        running.merge(new SlotClassKey(target, organisation), 1, Integer::sum);
+        runningByTarget.merge(target, 1, Integer::sum);
+        return new Slot(targetSlots, targetSlots.term(), slotClass, organisation);
     }
 
     /**
-     * Ends the use of a slot.
+     * Releases a slot when its request ends.
      *
      * @param slot The slot.
      * @param failed {@code true} if the target failed.
      */
     void finish(Slot slot, boolean failed) {
         String target = slot.target().name();
-        running.merge(new GrantKey(target, slot.organisation()), -1, Integer::sum);
-        runningAt.merge(target, -1, Integer::sum);
-        slot.share().finish(slot);
+        running.merge(new SlotClassKey(target, slot.organisation()), -1, Integer::sum);
+        runningByTarget.merge(target, -1, Integer::sum);
+        slot.targetSlots().finish(slot);
         if (failed) {
-            failures.merge(target, 1L, Long::sum);
+            failureCounts.merge(target, 1L, Long::sum);
         }
     }
 
     /**
-     * Returns what a keeper is told of one class of slots.
+     * Builds the report on one slot class.
      *
-     * @param key The target and class.
-     * @return The message.
+     * @param key The target and slot class.
+     * @return The totals and running requests of the class.
      */
-    Holding holding(GrantKey key) {
-        int runs = running.getOrDefault(key, 0);
-        HeldShare share = shares.get(key.target());
-        if (share == null) {
-            return new Holding(key.target(), 0, key.slotClass(), 0, 0, runs, runs);
+    Holding holding(SlotClassKey key) {
+        int runningCount = running.getOrDefault(key, 0);
+        TargetSlots targetSlots = slotsByTarget.get(key.target());
+        if (targetSlots == null) {
+            return new Holding(key.target(), 0, key.slotClass(), 0, 0, runningCount, runningCount);
         }
-        HeldTotals totals = share.classes().getOrDefault(key.slotClass(), new HeldTotals());
+        HeldSlotTotals totals =
+                targetSlots.classes().getOrDefault(key.slotClass(), new HeldSlotTotals());
         return new Holding(
                 key.target(),
-                share.term(),
+                targetSlots.term(),
                 key.slotClass(),
                 totals.seen(),
                 totals.released(),
-                runs,
-                runs - share.running(key.slotClass()));
+                runningCount,
+                runningCount - targetSlots.running(key.slotClass()));
     }
 
     /**
-     * Returns what a keeper is told of all slots at a target.
+     * Builds the reports on all slot classes of a target, including those that only have requests
+     * carried over from an earlier term.
      *
-     * @param share The slots at the target.
-     * @return The messages.
+     * @param targetSlots The slots at the target.
+     * @return The totals and running requests by class.
      */
-    List<Holding> holdings(HeldShare share) {
-        String target = share.target().name();
+    List<Holding> holdings(TargetSlots targetSlots) {
+        String target = targetSlots.target().name();
         List<Holding> holdings = new ArrayList<>();
-        for (String slotClass : share.classes().keySet()) {
-            holdings.add(holding(new GrantKey(target, slotClass)));
+        for (String slotClass : targetSlots.classes().keySet()) {
+            holdings.add(holding(new SlotClassKey(target, slotClass)));
         }
-        for (Map.Entry<GrantKey, Integer> entry : running.entrySet()) {
-            GrantKey key = entry.getKey();
-            boolean listed = share.classes().containsKey(key.slotClass());
+        for (Map.Entry<SlotClassKey, Integer> entry : running.entrySet()) {
+            SlotClassKey key = entry.getKey();
+            boolean listed = targetSlots.classes().containsKey(key.slotClass());
             if (key.target().equals(target) && !listed && entry.getValue() > 0) {
                 holdings.add(holding(key));
             }
@@ -158,27 +155,23 @@
     }
 
     /**
-     * Returns how many requests failed at a target.
+     * Returns the number of requests that failed at a target.
      *
      * @param target The target's name.
-     * @return The count or empty if none failed.
+     * @return The count, or empty if none failed.
      */
-    Optional<FailureCount> failures(String target) {
-        return Optional.ofNullable(failures.get(target))
+    Optional<FailureCount> failureCount(String target) {
+        return Optional.ofNullable(failureCounts.get(target))
                 .map(total -> new FailureCount(target, total));
     }
 
-    /**
-     * Returns how many requests run.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of requests running at all targets} */
     int running() {
-        return runningAt.values().stream().mapToInt(Integer::intValue).sum();
+        return runningByTarget.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     @Override
     public double load(Target target) {
-        return runningAt.getOrDefault(target.name(), 0) / (double) target.slots();
+        return runningByTarget.getOrDefault(target.name(), 0) / (double) target.slots();
     }
 }
--- a/src/main/java/org/martenwell/schedule/Holding.java
+++ b/src/main/java/org/martenwell/schedule/Holding.java
@@ -1,17 +1,20 @@
 package org.martenwell.schedule;
 
 /**
- * What a router tells a keeper of its slots of one class at one target. Totals count from the start
- * of the keeper's term and never fall, so lost, late and repeated reports do no harm.
+ * Slots of one class that a router holds at one target, as reported to the target's coordinator.
+ * Totals count from the start of the coordinator's term and never decrease, so lost, late and
+ * repeated reports are harmless.
  *
- * @param target The target.
- * @param term The keeper's term that the totals belong to, 0 if it has told none yet.
- * @param slotClass The organisation that the slots were granted to or {@link SlotClass#ANY}.
- * @param seen The total of slots that the router was granted.
- * @param released The total of slots that the router gave back.
- * @param running How many requests of this organisation run at the target now, whichever slot they
- *     use.
- * @param carried How many of them use slots that an earlier keeper granted.
+ * @param target The target's name.
+ * @param term The coordinator's term that the totals belong to, or 0 if the router does not know it
+ *     yet.
+ * @param slotClass The organisation that the slots were granted to, or {@link SlotClass#ANY}.
+ * @param seen The total number of granted slots that the router acknowledges.
+ * @param released The total number of slots that the router has released.
+ * @param running The number of this organisation's requests that run at the target, in slots of any
+ *     class.
+ * @param carried The number of running requests whose slots were granted in another term or by
+ *     another coordinator.
  */
 public record Holding(
         String target,
@@ -23,10 +26,10 @@
         int carried) {
 
     /**
-     * Returns this holding as a keeper in another term sees it: everything that runs is carried
-     * over.
+     * Converts this holding for a coordinator in another term: the totals are dropped and all
+     * running requests count as carried over.
      *
-     * @return The holding.
+     * @return The converted holding.
      */
     Holding carriedOver() {
         return new Holding(target, 0, slotClass, 0, 0, running, running);
--- a/src/main/java/org/martenwell/schedule/Keeper.java
+++ b/src/main/java/org/martenwell/schedule/Keeper.java
@@ -13,68 +13,65 @@
 import org.martenwell.configuration.Target;
 
 /**
- * Hands out the slots of the targets that one router keeps. While work waits, each free slot goes
- * to the backlogged organisation of the least rank; while none waits, free slots are lent to
- * routers.
+ * Allocates the slots of the targets that this router coordinates. While requests wait, each free
+ * slot goes to the backlogged organisation with the lowest rank; while none wait, free slots are
+ * lent to routers ahead of demand.
  */
 public final class Keeper {
 
-    /** This router's name. */
     private final String name;
 
-    /** This router's incarnation. */
     private final long incarnation;
 
-    /** The numbers that tune scheduling. */
     private final SchedulingParameters parameters;
 
-    /** The service of all organisations. */
+    /** Service received and slots in use, by organisation, over the fleet. */
     private final ServiceCounters counters;
 
-    /** Is told of grants. */
     private final GrantListener listener;
 
-    /** The targets kept, by name. */
-    private final Map<String, KeptTarget> targets = new TreeMap<>();
+    /** Coordinated targets by name. */
+    private final Map<String, CoordinatedTarget> targets = new TreeMap<>();
 
-    /** What waits at routers. */
+    /** Queues that routers reported. */
     private final DemandTable demands = new DemandTable();
 
-    /** The last report's number by router incarnation. */
-    private final Map<PeerIncarnation, Long> sequences = new HashMap<>();
+    /** Sequence number of the last report applied, by router incarnation. */
+    private final Map<PeerIncarnation, Long> lastSequences = new HashMap<>();
 
-    /** The newest incarnation by router. */
-    private final Map<String, Long> incarnations = new HashMap<>();
+    private final Map<String, Long> latestIncarnations = new HashMap<>();
 
-    /** The grants under way, by router and organisation. */
-    private final Map<String, Map<String, Integer>> unseen = new HashMap<>();
+    /** Granted slots that the router has not acknowledged yet, by router and slot class. */
+    private final Map<String, Map<String, Integer>> unacknowledged = new HashMap<>();
 
-    /** When organisations last had requests waiting. */
+    /** Time of the last report of waiting requests, by organisation. */
     private final Map<String, Long> lastBacklogged = new HashMap<>();
 
-    /** The routers to ask for complete reports, because a target is newly kept. */
-    private final Set<String> asked = new HashSet<>();
+    /**
+     * Routers that owe a complete report because this router has become the coordinator of a
+     * target.
+     */
+    private final Set<String> resyncRequired = new HashSet<>();
 
-    /** What changed since the last decision, by router. */
-    private final Map<String, Map<GrantKey, SlotGrant>> outgoing = new LinkedHashMap<>();
+    /** Grants to send with the next call of {@link #decide(long)}, by router. */
+    private final Map<String, Map<SlotClassKey, SlotGrant>> outgoing = new LinkedHashMap<>();
 
-    /** The terms of contracts. */
-    private OrganisationTerms contracts = EqualTerms.INSTANCE;
+    private OrganisationTerms terms = EqualTerms.INSTANCE;
 
-    /** How often this keeper has begun to keep a target. */
-    private long terms;
+    /** Most recent term. A term begins whenever this router becomes the coordinator of a target. */
+    private long lastTerm;
 
-    /** The routers that are members, this one included. */
+    /** Names of all member routers, including this one. */
     private Set<String> members = Set.of();
 
     /**
-     * Creates a keeper without targets.
+     * Creates a coordinator without targets.
      *
      * @param name This router's name.
      * @param incarnation This router's incarnation.
-     * @param parameters The numbers that tune scheduling.
-     * @param counters The service of all organisations.
-     * @param listener Is told of grants.
+     * @param parameters The scheduling parameters.
+     * @param counters The service counters, shared with the router's side of scheduling.
+     * @param listener Notified of each slot granted to an organisation.
      */
     public Keeper(
             String name,
@@ -90,326 +87,339 @@
     }
 
     /**
-     * Changes the terms of contracts.
+     * Sets the contract terms that apply from the next decision on.
      *
-     * @param changed The terms.
+     * @param changed The weights and concurrency limits of organisations.
      */
     public void terms(OrganisationTerms changed) {
-        contracts = changed;
+        terms = changed;
     }
 
     /**
-     * Changes which targets this router keeps and which routers are members.
+     * Sets the targets that this router coordinates and the member routers. State of removed
+     * targets and routers is discarded; new targets start without known allocations.
      *
-     * @param kept The targets to keep.
-     * @param routers The names of all members, this one included.
-     * @param now The time.
+     * @param coordinated The targets that this router coordinates.
+     * @param routers The names of all member routers, including this one.
+     * @param now The current time in milliseconds.
      */
-    public void assign(Collection<Target> kept, Set<String> routers, long now) {
+    public void assign(Collection<Target> coordinated, Set<String> routers, long now) {
         Set<String> names = new HashSet<>();
-        for (Target target : kept) {
+        for (Target target : coordinated) {
             names.add(target.name());
-            KeptTarget known = targets.get(target.name());
+            CoordinatedTarget known = targets.get(target.name());
             if (known == null) {
                 targets.put(
                         target.name(),
-                        new KeptTarget(target, nextTerm(), now + parameters.settleMillis()));
-                asked.addAll(routers);
+                        new CoordinatedTarget(
+                                target,
+                                beginTerm(),
+                                now + parameters.initialReportTimeoutMillis()));
+                resyncRequired.addAll(routers);
             } else {
                 known.reconfigure(target);
             }
         }
         for (String target : List.copyOf(targets.keySet())) {
             if (!names.contains(target)) {
-                forgetTarget(target);
+                removeTarget(target);
             }
         }
         for (String router : members) {
             if (!routers.contains(router)) {
-                forgetRouter(router);
+                removeRouter(router);
             }
         }
         members = Set.copyOf(routers);
     }
 
     /**
-     * Begins a term.
+     * Starts a new term, so that totals of an earlier term are not mistaken for current ones.
      *
-     * @return The term's number.
+     * @return The number of the new term.
      */
-    private long nextTerm() {
-        terms++;
-        return terms;
+    private long beginTerm() {
+        lastTerm++;
+        return lastTerm;
     }
 
     /**
-     * Says whether a target takes new work.
+     * Sets whether a target accepts new requests. Has no effect on targets that this router does
+     * not coordinate.
      *
      * @param target The target's name.
-     * @param takesWork {@code false} if it is leaving or away.
+     * @param takesWork {@code false} if the target is draining or unavailable.
      */
     public void open(String target, boolean takesWork) {
-        KeptTarget kept = targets.get(target);
-        if (kept != null) {
-            kept.open(takesWork);
+        CoordinatedTarget coordinated = targets.get(target);
+        if (coordinated != null) {
+            coordinated.open(takesWork);
         }
     }
 
     /**
-     * Takes in a router's report.
+     * Applies a router's report. Reports of non-members, outdated incarnations and outdated
+     * sequence numbers are ignored.
      *
      * @param report The report.
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
     public void receive(SlotReport report, long now) {
         PeerIncarnation router = new PeerIncarnation(report.router(), report.incarnation());
-        if (!members.contains(report.router()) || !isNews(router, report.sequence())) {
+        if (!members.contains(report.router()) || !isNewer(router, report.sequence())) {
             return;
         }
-        sequences.put(router, report.sequence());
+        lastSequences.put(router, report.sequence());
         if (report.complete()) {
             demands.drop(report.router());
         }
         for (Demand demand : report.demands()) {
-            noteBacklog(demand, now);
+            updateBacklog(demand, now);
             demands.receive(report.router(), demand, now);
         }
         if (report.keeperIncarnation() == incarnation) {
-            receiveHoldings(report, now);
+            applyHoldings(report, now);
         }
     }
 
     /**
-     * Decides about the free slots of all kept targets.
+     * Allocates the free slots of all coordinated targets.
      *
-     * @param now The time.
-     * @return What to tell each router, by router.
+     * @param now The current time in milliseconds.
+     * @return The messages to send, by router name; routers without changes are absent.
      */
     public Map<String, SlotGrants> decide(long now) {
-        for (KeptTarget kept : targets.values()) {
-            decide(kept, now);
+        for (CoordinatedTarget coordinated : targets.values()) {
+            decide(coordinated, now);
         }
         Map<String, SlotGrants> messages = new LinkedHashMap<>();
-        for (String router : asked) {
+        for (String router : resyncRequired) {
             messages.put(router, message(router, true));
         }
         for (String router : outgoing.keySet()) {
             messages.computeIfAbsent(router, key -> message(key, false));
         }
-        asked.clear();
+        resyncRequired.clear();
         outgoing.clear();
         return messages;
     }
 
     /**
-     * Builds the message to a router from what changed.
+     * Builds a message with the pending grants of a router.
      *
-     * @param router The router.
-     * @param completeWanted {@code true} if the router is to report everything.
+     * @param router The router's name.
+     * @param completeWanted {@code true} to request a complete report.
      * @return The message.
      */
     private SlotGrants message(String router, boolean completeWanted) {
         List<SlotGrant> grants = List.copyOf(outgoing.getOrDefault(router, Map.of()).values());
-        long routerIncarnation = incarnations.getOrDefault(router, 0L);
+        long routerIncarnation = latestIncarnations.getOrDefault(router, 0L);
         return new SlotGrants(name, incarnation, routerIncarnation, completeWanted, grants);
     }
 
     /**
-     * Repeats grants that were not seen. To be called now and then.
+     * Queues unacknowledged grants to be resent and halves the recent use of routers. Called
+     * periodically.
      *
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
     public void maintain(long now) {
-        for (KeptTarget kept : targets.values()) {
-            for (Map.Entry<String, RouterShare> entry : kept.shares().entrySet()) {
+        for (CoordinatedTarget coordinated : targets.values()) {
+            for (Map.Entry<String, RouterAllocation> entry : coordinated.allocations().entrySet()) {
                 entry.getValue().decayRecentUse();
-                resend(kept, entry.getKey(), entry.getValue(), now);
+                resend(coordinated, entry.getKey(), entry.getValue(), now);
             }
         }
     }
 
     /**
-     * Returns how many slots of a kept target are taken, grants under way included.
+     * Returns the number of slots of a target that are in use, lent or granted.
      *
      * @param target The target's name.
-     * @return The number of slots or empty if this router does not keep the target.
+     * @return The number of slots, or empty if this router does not coordinate the target.
      */
     public Optional<Integer> taken(String target) {
-        return Optional.ofNullable(targets.get(target)).map(KeptTarget::taken);
+        return Optional.ofNullable(targets.get(target)).map(CoordinatedTarget::taken);
     }
 
-    /**
-     * Returns the names of the targets kept.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the targets that this router coordinates} */
     public Set<String> keptTargets() {
         return Set.copyOf(targets.keySet());
     }
 
-    /**
-     * Returns the organisations that have requests waiting for targets kept here.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the organisations with requests that wait for a coordinated target} */
     public Set<String> backlogged() {
         return Set.copyOf(demands.organisations());
     }
 
     /**
-     * Returns whether a report is later than those before it.
+     * Checks that a report is newer than those already applied. A new incarnation discards the
+     * state of the previous one.
      *
      * @param router The router's incarnation.
-     * @param sequence The report's number.
-     * @return {@code true} if it is.
+     * @param sequence The report's sequence number.
+     * @return {@code true} if the report has to be applied.
      */
-    private boolean isNews(PeerIncarnation router, long sequence) {
-        long newest = incarnations.getOrDefault(router.router(), Long.MIN_VALUE);
+    private boolean isNewer(PeerIncarnation router, long sequence) {
+        long newest = latestIncarnations.getOrDefault(router.router(), Long.MIN_VALUE);
         if (router.incarnation() < newest) {
             return false;
         }
         if (router.incarnation() > newest) {
-            forgetRouter(router.router());
-            incarnations.put(router.router(), router.incarnation());
+            removeRouter(router.router());
+            latestIncarnations.put(router.router(), router.incarnation());
         }
-        return sequence > sequences.getOrDefault(router, 0L);
+        return sequence > lastSequences.getOrDefault(router, 0L);
     }
 
     /**
-     * Lifts an organisation that returns from idle.
+     * Records that an organisation is backlogged, and raises its counter if it was idle for longer
+     * than the grace period.
      *
-     * @param demand What a router told.
-     * @param now The time.
+     * @param demand The reported queue.
+     * @param now The current time in milliseconds.
      */
-    private void noteBacklog(Demand demand, long now) {
+    private void updateBacklog(Demand demand, long now) {
         String organisation = demand.organisation();
         if (demand.waiting() == 0) {
             return;
         }
-        boolean waits = demands.organisations().contains(organisation);
-        long since = now - lastBacklogged.getOrDefault(organisation, Long.MIN_VALUE / 2);
-        if (!waits && since > parameters.idleGraceMillis()) {
+        boolean isBacklogged = demands.organisations().contains(organisation);
+        long idleMillis = now - lastBacklogged.getOrDefault(organisation, Long.MIN_VALUE / 2);
+        if (!isBacklogged && idleMillis > parameters.idleGraceMillis()) {
             counters.lift(organisation);
         }
         lastBacklogged.put(organisation, now);
     }
 
     /**
-     * Takes in what a router told of its slots.
+     * Applies the failures and slot totals of a report. A target with new failures goes into
+     * backoff, even if other requests succeeded there.
      *
      * @param report The report.
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
-    private void receiveHoldings(SlotReport report, long now) {
+    private void applyHoldings(SlotReport report, long now) {
         if (report.complete()) {
-            for (KeptTarget kept : targets.values()) {
-                forgetUnlisted(kept, report);
+            for (CoordinatedTarget coordinated : targets.values()) {
+                clearUnlisted(coordinated, report);
             }
         }
         Set<String> failed = new HashSet<>();
         for (FailureCount failure : report.failures()) {
-            KeptTarget kept = targets.get(failure.target());
-            if (kept != null
-                    && kept.share(report.router(), report.incarnation())
+            CoordinatedTarget coordinated = targets.get(failure.target());
+            if (coordinated != null
+                    && coordinated
+                            .allocation(report.router(), report.incarnation())
                             .receiveFailures(failure.total())) {
                 failed.add(failure.target());
-                kept.noteFailure(now);
+                coordinated.recordFailure(now);
             }
         }
         for (Holding holding : report.holdings()) {
-            KeptTarget kept = targets.get(holding.target());
-            if (kept != null) {
-                int back = receiveHolding(kept, report, holding);
-                if (back > 0 && !failed.contains(holding.target())) {
-                    kept.noteSuccess(now);
+            CoordinatedTarget coordinated = targets.get(holding.target());
+            if (coordinated != null) {
+                int releasedSlots = applyHolding(coordinated, report, holding);
+                if (releasedSlots > 0 && !failed.contains(holding.target())) {
+                    coordinated.recordSuccess(now);
                 }
             }
         }
     }
 
     /**
-     * Notes that nothing runs in the classes that a complete report does not list.
+     * Clears the slot classes of a target that a complete report does not list.
      *
-     * @param kept The target.
+     * @param coordinated The target.
      * @param report The complete report.
      */
-    private void forgetUnlisted(KeptTarget kept, SlotReport report) {
-        RouterShare share = kept.share(report.router(), report.incarnation());
-        String target = kept.target().name();
+    private void clearUnlisted(CoordinatedTarget coordinated, SlotReport report) {
+        RouterAllocation allocation = coordinated.allocation(report.router(), report.incarnation());
+        String target = coordinated.target().name();
         Set<String> listed = new HashSet<>();
         for (Holding holding : report.holdings()) {
             if (holding.target().equals(target)) {
                 listed.add(holding.slotClass());
             }
         }
-        for (String slotClass : List.copyOf(share.classes().keySet())) {
+        for (String slotClass : List.copyOf(allocation.classes().keySet())) {
             if (!listed.contains(slotClass)) {
-                Holding idle = share.totals(slotClass).idle(target, kept.term(), slotClass);
-                receiveHolding(kept, report, idle);
+                Holding idle =
+                        allocation.totals(slotClass).idle(target, coordinated.term(), slotClass);
+                applyHolding(coordinated, report, idle);
             }
         }
-        share.becomeKnown();
+        allocation.markReported();
     }
 
     /**
-     * Takes in what a router told of one class of slots.
+     * Applies the totals of one slot class. Totals of another term are ignored, except that running
+     * requests count as carried over.
      *
-     * @param kept The target.
+     * @param coordinated The target.
      * @param report The report.
-     * @param told What the router told.
-     * @return How many slots came back.
-     */
-    private int receiveHolding(KeptTarget kept, SlotReport report, Holding told) {
-        Holding holding = told.term() == kept.term() ? told : told.carriedOver();
-        RouterShare share = kept.share(report.router(), report.incarnation());
-        ClassTotals totals = share.totals(holding.slotClass());
-        int unseenBefore = totals.unseen();
-        int takenBefore = share.taken(holding.slotClass());
-        int back = share.receive(holding);
-        addUnseen(report.router(), holding.slotClass(), totals.unseen() - unseenBefore);
-        changeInUse(holding.slotClass(), share.taken(holding.slotClass()) - takenBefore);
-        return back;
-    }
-
-    /**
-     * Decides about the free slots of one target.
-     *
-     * @param kept The target.
-     * @param now The time.
-     */
-    private void decide(KeptTarget kept, long now) {
-        int offered = kept.offered(now);
-        boolean full = offered > 0 && kept.taken() >= offered + parameters.grantsAhead();
-        boolean nothingToDo = full && kept.lent() == 0;
-        if (nothingToDo || !kept.settled(members, now)) {
+     * @param reported The reported totals.
+     * @return The number of slots released.
+     */
+    private int applyHolding(CoordinatedTarget coordinated, SlotReport report, Holding reported) {
+        Holding holding = reported.term() == coordinated.term() ? reported : reported.carriedOver();
+        RouterAllocation allocation = coordinated.allocation(report.router(), report.incarnation());
+        GrantTotals totals = allocation.totals(holding.slotClass());
+        int unacknowledgedBefore = totals.unacknowledged();
+        int takenBefore = allocation.taken(holding.slotClass());
+        int releasedSlots = allocation.receive(holding);
+        addUnacknowledged(
+                report.router(),
+                holding.slotClass(),
+                totals.unacknowledged() - unacknowledgedBefore);
+        changeInUse(holding.slotClass(), allocation.taken(holding.slotClass()) - takenBefore);
+        return releasedSlots;
+    }
+
+    /**
+     * Allocates the free slots of one target, unless the slots that earlier coordinators granted
+     * are still unknown.
+     *
+     * @param coordinated The target.
+     * @param now The current time in milliseconds.
+     */
+    private void decide(CoordinatedTarget coordinated, long now) {
+        int offered = coordinated.offered(now);
+        boolean full = offered > 0 && coordinated.taken() >= offered + parameters.overcommitSlots();
+        boolean nothingToDo = full && coordinated.lent() == 0;
+        if (nothingToDo || !coordinated.allocationsKnown(members, now)) {
             return;
         }
-        List<QueueKey> contenders = contenders(kept);
+        List<QueueKey> contenders = contenders(coordinated);
         if (offered == 0 || !contenders.isEmpty()) {
-            recallLent(kept);
+            recallLent(coordinated);
         }
-        int ahead = contenders.isEmpty() || kept.onTrial() ? 0 : parameters.grantsAhead();
-        int free = offered == 0 ? 0 : offered + ahead - kept.taken();
+        int overcommit =
+                contenders.isEmpty() || coordinated.isRecovering()
+                        ? 0
+                        : parameters.overcommitSlots();
+        int free = offered == 0 ? 0 : offered + overcommit - coordinated.taken();
         while (free > 0 && !contenders.isEmpty()) {
-            String organisation = grantLeastServed(kept, contenders, now).organisation();
-            contenders.removeIf(key -> key.organisation().equals(organisation) && !contends(key));
+            String organisation = grantLeastServed(coordinated, contenders, now).organisation();
+            contenders.removeIf(
+                    key -> key.organisation().equals(organisation) && !isContender(key));
             free--;
         }
-        if (contenders.isEmpty() && !kept.onTrial()) {
-            lend(kept, offered - kept.taken(), now);
+        if (contenders.isEmpty() && !coordinated.isRecovering()) {
+            lend(coordinated, offered - coordinated.taken(), now);
         }
     }
 
     /**
-     * Returns the queues that a target may serve and for which no grant is under way yet.
+     * Returns the queues of a target's pools that may receive a slot.
      *
-     * @param kept The target.
+     * @param coordinated The target.
      * @return The queues.
      */
-    private List<QueueKey> contenders(KeptTarget kept) {
+    private List<QueueKey> contenders(CoordinatedTarget coordinated) {
         List<QueueKey> contenders = new ArrayList<>();
-        for (QueueKey key : demands.backlogged(kept.target().pools())) {
-            if (contends(key)) {
+        for (QueueKey key : demands.backlogged(coordinated.target().pools())) {
+            if (isContender(key)) {
                 contenders.add(key);
             }
         }
@@ -417,26 +427,28 @@
     }
 
     /**
-     * Returns whether a queue has a request for which no grant is under way, within its ceiling.
+     * Checks that a queue has a request without a grant and that its organisation is below its
+     * concurrency limit.
      *
      * @param key The queue.
-     * @return {@code true} if it has.
+     * @return {@code true} if the queue may receive a slot.
      */
-    private boolean contends(QueueKey key) {
+    private boolean isContender(QueueKey key) {
         String organisation = key.organisation();
-        return counters.inUse(organisation) < contracts.maxConcurrent(organisation)
-                && demands.mostUrgent(key, this::unseen).isPresent();
+        return counters.inUse(organisation) < terms.maxConcurrent(organisation)
+                && demands.mostUrgent(key, this::unacknowledged).isPresent();
     }
 
     /**
-     * Grants a slot to the organisation of the least rank.
+     * Grants a slot to the organisation with the lowest rank.
      *
-     * @param kept The target.
-     * @param contenders The queues to choose from.
-     * @param now The time.
-     * @return The queue that was granted the slot.
+     * @param coordinated The target.
+     * @param contenders The queues to choose from, not empty.
+     * @param now The current time in milliseconds.
+     * @return The queue that received the slot.
      */
-    private QueueKey grantLeastServed(KeptTarget kept, List<QueueKey> contenders, long now) {
+    private QueueKey grantLeastServed(
+            CoordinatedTarget coordinated, List<QueueKey> contenders, long now) {
         QueueKey chosen = null;
         double leastRank = Double.POSITIVE_INFINITY;
         double leastService = Double.POSITIVE_INFINITY;
@@ -448,12 +460,12 @@
                 chosen = key;
             }
         }
-        counters.raiseLevel(leastService);
-        String router = demands.mostUrgent(chosen, this::unseen).orElseThrow();
-        grant(kept, router, chosen.organisation(), now);
+        counters.raiseLiftLevel(leastService);
+        String router = demands.mostUrgent(chosen, this::unacknowledged).orElseThrow();
+        grant(coordinated, router, chosen.organisation(), now);
         listener.granted(
                 new GrantDecision(
-                        kept.target().name(),
+                        coordinated.target().name(),
                         chosen.organisation(),
                         router,
                         leastRank,
@@ -462,143 +474,133 @@
     }
 
     /**
-     * Ranks an organisation by the service it has had and will soon have from slots in use.
+     * Computes an organisation's rank: the weighted service received plus the service expected from
+     * its slots in use within the horizon.
      *
      * @param organisation The organisation.
-     * @return The weighted service in units; the least comes first.
+     * @return The rank in service units; the lowest is served first.
      */
     private double rank(String organisation) {
-        double soon =
+        double expectedService =
                 counters.inUse(organisation)
                         * parameters.slotRate()
                         * parameters.horizonMillis()
                         / 1000.0;
-        return counters.total(organisation) + soon / contracts.weight(organisation);
+        return counters.total(organisation) + expectedService / terms.weight(organisation);
     }
 
     /**
-     * Grants one slot.
+     * Grants one slot to a router.
      *
-     * @param kept The target.
-     * @param router The router.
+     * @param coordinated The target.
+     * @param router The router's name.
      * @param slotClass The organisation or {@link SlotClass#ANY}.
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
-    private void grant(KeptTarget kept, String router, String slotClass, long now) {
-        RouterShare share = kept.share(router, incarnations.getOrDefault(router, 0L));
-        ClassTotals totals = share.totals(slotClass);
-        share.grant(totals);
+    private void grant(CoordinatedTarget coordinated, String router, String slotClass, long now) {
+        RouterAllocation allocation =
+                coordinated.allocation(router, latestIncarnations.getOrDefault(router, 0L));
+        GrantTotals totals = allocation.totals(slotClass);
+        allocation.grant(totals);
         totals.sent(now);
-        addUnseen(router, slotClass, 1);
+        addUnacknowledged(router, slotClass, 1);
         changeInUse(slotClass, 1);
-        tell(kept, router, slotClass, totals, false);
+        addToMessage(coordinated, router, slotClass, totals, false);
     }
 
     /**
-     * Lends free slots to the routers that reported.
+     * Lends free slots to routers that have reported.
      *
-     * @param kept The target.
+     * @param coordinated The target.
      * @param free The number of free slots.
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
-    private void lend(KeptTarget kept, int free, long now) {
-        Map<String, Long> routers = new TreeMap<>(incarnations);
+    private void lend(CoordinatedTarget coordinated, int free, long now) {
+        Map<String, Long> routers = new TreeMap<>(latestIncarnations);
         routers.keySet().retainAll(members);
         for (int slot = 0; slot < free; slot++) {
-            Optional<String> router = Lending.neediest(kept, routers);
+            Optional<String> router = LendingPolicy.furthestBelowShare(coordinated, routers);
             if (router.isEmpty()) {
                 return;
             }
-            grant(kept, router.get(), SlotClass.ANY, now);
+            grant(coordinated, router.get(), SlotClass.ANY, now);
         }
     }
 
     /**
-     * Recalls the lent slots that routers do not use.
+     * Asks routers to release the lent slots that they do not use.
      *
-     * @param kept The target.
+     * @param coordinated The target.
      */
-    private void recallLent(KeptTarget kept) {
-        for (Map.Entry<String, RouterShare> entry : kept.shares().entrySet()) {
-            ClassTotals totals = entry.getValue().totals(SlotClass.ANY);
+    private void recallLent(CoordinatedTarget coordinated) {
+        for (Map.Entry<String, RouterAllocation> entry : coordinated.allocations().entrySet()) {
+            GrantTotals totals = entry.getValue().totals(SlotClass.ANY);
             if (totals.outstanding() > 0 && totals.recall()) {
-                tell(kept, entry.getKey(), SlotClass.ANY, totals, true);
+                addToMessage(coordinated, entry.getKey(), SlotClass.ANY, totals, true);
             }
         }
     }
 
     /**
-     * Repeats grants that a router has not seen for long.
+     * Resends grants and recalls that a router has not acknowledged within the resend interval.
      *
-     * @param kept The target.
-     * @param router The router.
-     * @param share The router's account.
-     * @param now The time.
+     * @param coordinated The target.
+     * @param router The router's name.
+     * @param allocation The router's slots at the target.
+     * @param now The current time in milliseconds.
      */
-    private void resend(KeptTarget kept, String router, RouterShare share, long now) {
-        for (Map.Entry<String, ClassTotals> entry : share.classes().entrySet()) {
-            ClassTotals totals = entry.getValue();
+    private void resend(
+            CoordinatedTarget coordinated, String router, RouterAllocation allocation, long now) {
+        for (Map.Entry<String, GrantTotals> entry : allocation.classes().entrySet()) {
+            GrantTotals totals = entry.getValue();
             boolean stale = now - totals.sentAt() >= parameters.resendMillis();
-            boolean lost = totals.unseen() > 0 || (totals.recalled() && totals.outstanding() > 0);
+            boolean lost =
+                    totals.unacknowledged() > 0 || (totals.recalled() && totals.outstanding() > 0);
             if (stale && lost) {
                 totals.sent(now);
-                tell(kept, router, entry.getKey(), totals, totals.recalled());
+                addToMessage(coordinated, router, entry.getKey(), totals, totals.recalled());
             }
         }
     }
 
     /**
-     * Adds a total to the next message to a router.
+     * Adds the total of a slot class to the next message to a router, replacing an earlier total.
      *
-     * @param kept The target.
-     * @param router The router.
-     * @param slotClass The class.
-     * @param totals The totals.
-     * @param recalled {@code true} if unused slots are to come back.
+     * @param coordinated The target.
+     * @param router The router's name.
+     * @param slotClass The slot class.
+     * @param totals The totals of the class.
+     * @param recalled {@code true} if the router has to release unused slots.
      */
-    private void tell(
-            KeptTarget kept,
+    private void addToMessage(
+            CoordinatedTarget coordinated,
             String router,
             String slotClass,
-            ClassTotals totals,
+            GrantTotals totals,
             boolean recalled) {
-        String target = kept.target().name();
+        String target = coordinated.target().name();
         outgoing.computeIfAbsent(router, key -> new LinkedHashMap<>())
                 .put(
-                        new GrantKey(target, slotClass),
-                        new SlotGrant(target, kept.term(), slotClass, totals.granted(), recalled));
+                        new SlotClassKey(target, slotClass),
+                        new SlotGrant(
+                                target, coordinated.term(), slotClass, totals.granted(), recalled));
     }
 
-    /**
-     * Counts the slots under way to a router for an organisation.
-     *
-     * @param router The router.
-     * @param organisation The organisation.
-     * @return The number of slots.
-     */
-    private int unseen(String router, String organisation) {
-        return unseen.getOrDefault(router, Map.of()).getOrDefault(organisation, 0);
+    private int unacknowledged(String router, String organisation) {
+        return unacknowledged.getOrDefault(router, Map.of()).getOrDefault(organisation, 0);
     }
 
-    /**
-     * Changes the count of slots under way.
-     *
-     * @param router The router.
-     * @param slotClass The class.
-     * @param change The change.
-     */
-    private void addUnseen(String router, String slotClass, int change) {
+    private void addUnacknowledged(String router, String slotClass, int change) {
         if (change != 0) {
-            unseen.computeIfAbsent(router, key -> new HashMap<>())
+            unacknowledged
+                    .computeIfAbsent(router, key -> new HashMap<>())
                     .merge(slotClass, change, Integer::sum);
         }
     }
 
     /**
-     * Changes the count of slots in use.
-     *
-     * @param slotClass The class.
-     * @param change The change.
+     * Changes the number of slots in use by an organisation. Lent slots belong to no organisation
+     * and are not counted.
      */
     private void changeInUse(String slotClass, int change) {
         if (change != 0 && !slotClass.equals(SlotClass.ANY)) {
@@ -606,48 +608,35 @@
         }
     }
 
-    /**
-     * Forgets a target that another router keeps now.
-     *
-     * @param target The target's name.
-     */
-    private void forgetTarget(String target) {
-        KeptTarget kept = targets.remove(target);
-        for (String router : List.copyOf(kept.shares().keySet())) {
-            forgetShare(kept, router);
+    /** Discards a target that this router no longer coordinates. */
+    private void removeTarget(String target) {
+        CoordinatedTarget coordinated = targets.remove(target);
+        for (String router : List.copyOf(coordinated.allocations().keySet())) {
+            removeAllocation(coordinated, router);
         }
     }
 
-    /**
-     * Forgets a router that left or restarted.
-     *
-     * @param router The router.
-     */
-    private void forgetRouter(String router) {
+    /** Discards the state of a router that left or restarted. */
+    private void removeRouter(String router) {
         demands.drop(router);
-        for (KeptTarget kept : targets.values()) {
-            forgetShare(kept, router);
+        for (CoordinatedTarget coordinated : targets.values()) {
+            removeAllocation(coordinated, router);
         }
-        incarnations.remove(router);
-        unseen.remove(router);
+        latestIncarnations.remove(router);
+        unacknowledged.remove(router);
         outgoing.remove(router);
     }
 
-    /**
-     * Forgets a router's slots at a target.
-     *
-     * @param kept The target.
-     * @param router The router.
-     */
-    private void forgetShare(KeptTarget kept, String router) {
-        RouterShare share = kept.shares().get(router);
-        if (share == null) {
+    /** Discards a router's slots at a target and the counts derived from them. */
+    private void removeAllocation(CoordinatedTarget coordinated, String router) {
+        RouterAllocation allocation = coordinated.allocations().get(router);
+        if (allocation == null) {
             return;
         }
-        for (Map.Entry<String, ClassTotals> entry : share.classes().entrySet()) {
-            changeInUse(entry.getKey(), -share.taken(entry.getKey()));
-            addUnseen(router, entry.getKey(), -entry.getValue().unseen());
+        for (Map.Entry<String, GrantTotals> entry : allocation.classes().entrySet()) {
+            changeInUse(entry.getKey(), -allocation.taken(entry.getKey()));
+            addUnacknowledged(router, entry.getKey(), -entry.getValue().unacknowledged());
         }
-        kept.drop(router);
+        coordinated.drop(router);
     }
 }
--- a/src/main/java/org/martenwell/schedule/KeeperReference.java
+++ b/src/main/java/org/martenwell/schedule/KeeperReference.java
@@ -1,9 +1,9 @@
 package org.martenwell.schedule;
 
 /**
- * Names one life of a keeper.
+ * Identifies one incarnation of a coordinator.
  *
- * @param name The keeper's name.
- * @param incarnation The keeper's incarnation.
+ * @param name The name of the coordinating router.
+ * @param incarnation The incarnation of the coordinating router.
  */
 public record KeeperReference(String name, long incarnation) {}
--- a/src/main/java/org/martenwell/schedule/OrganisationTerms.java
+++ b/src/main/java/org/martenwell/schedule/OrganisationTerms.java
@@ -1,10 +1,10 @@
 package org.martenwell.schedule;
 
-/** Tells the terms of contracts that scheduling needs. */
+/** Contract terms of organisations that affect scheduling. */
 public interface OrganisationTerms {
 
     /**
-     * Returns an organisation's share of service relative to others.
+     * Returns an organisation's weight, its share of service relative to other organisations.
      *
      * @param organisation The organisation.
      * @return The weight, greater than 0.
@@ -12,10 +12,10 @@
     double weight(String organisation);
 
     /**
-     * Returns the most requests that an organisation may run at once over the fleet.
+     * Returns the maximum number of requests that an organisation may run at once over the fleet.
      *
      * @param organisation The organisation.
-     * @return The number of requests.
+     * @return The number of requests; {@link Integer#MAX_VALUE} means no limit.
      */
     int maxConcurrent(String organisation);
 }
--- a/src/main/java/org/martenwell/schedule/PeerCounters.java
+++ b/src/main/java/org/martenwell/schedule/PeerCounters.java
@@ -5,47 +5,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** The counters that one incarnation of a peer reported. */
+/** Counters reported by one incarnation of a peer. */
 final class PeerCounters {
 
-    /** The greatest service reported, by organisation. */
+    /** Highest reported service by organisation. */
     private final Map<String, Double> served = new HashMap<>();
 
-    /** The slots granted, by organisation. */
+    /** Granted slots by organisation. */
     private final Map<String, Integer> inUse = new HashMap<>();
 
-    /** The number of the report that last set the slots granted, by organisation. */
-    private final Map<String, Long> sequences = new HashMap<>();
+    /** Sequence number of the report that last set the granted slots, by organisation. */
+    private final Map<String, Long> inUseSequences = new HashMap<>();
 
-    /** The greatest number of a report. */
-    private long sequence;
+    /** Highest sequence number of a report. */
+    private long lastSequence;
 
-    /** Creates empty counters. */
+    /** Creates counters of zero. */
     PeerCounters() {}
 
     /**
-     * Takes in one entry.
+     * Merges one entry of a report.
      *
      * @param entry The entry.
-     * @param number The number of its report.
+     * @param sequenceNumber The sequence number of the report.
      * @param newest {@code true} if no later incarnation of the peer is known.
-     * @return By how much the service grew.
+     * @return The increase of the organisation's service.
      */
-    double receive(ServiceEntry entry, long number, boolean newest) {
+    double receive(ServiceEntry entry, long sequenceNumber, boolean newest) {
         String organisation = entry.organisation();
-        sequence = Math.max(sequence, number);
-        if (newest && number >= sequences.getOrDefault(organisation, 0L)) {
-            sequences.put(organisation, number);
+        lastSequence = Math.max(lastSequence, sequenceNumber);
+        if (newest && sequenceNumber >= inUseSequences.getOrDefault(organisation, 0L)) {
+            inUseSequences.put(organisation, sequenceNumber);
             inUse.put(organisation, entry.inUse());
         }
-        double known = served.getOrDefault(organisation, 0.0);
-        double merged = Math.max(known, entry.served());
+        double previous = served.getOrDefault(organisation, 0.0);
+        double merged = Math.max(previous, entry.served());
         served.put(organisation, merged);
-        return merged - known;
+        return merged - previous;
     }
 
     /**
-     * Returns the slots granted to an organisation.
+     * Returns the number of slots granted to an organisation.
      *
      * @param organisation The organisation.
      * @return The number of slots.
@@ -54,24 +54,19 @@
         return inUse.getOrDefault(organisation, 0);
     }
 
-    /** Forgets the slots granted. */
+    /** Clears all granted slots. */
     void clearInUse() {
         inUse.clear();
     }
 
-    /**
-     * Returns the greatest number of a report.
-     *
-     * @return The number.
-     */
+    /** {@return the highest sequence number of a report} */
     long sequence() {
-        return sequence;
+        return lastSequence;
     }
 
     /**
-     * Returns the counters as entries.
-     *
-     * @return The entries.
+     * {@return the counters as entries of a report; the lift is 0, since it is not part of a peer's
+     * own counters}
      */
     List<ServiceEntry> entries() {
         List<ServiceEntry> entries = new ArrayList<>();
--- a/src/main/java/org/martenwell/schedule/PrefixThenLeastLoaded.java
+++ b/src/main/java/org/martenwell/schedule/PrefixThenLeastLoaded.java
@@ -7,28 +7,28 @@
 import org.martenwell.hash.RendezvousHash;
 
 /**
- * Prefers the targets that rendezvous hashing gives for the prompt's prefix unless they are loaded
- * far above the average, then the least loaded.
+ * Prefers the targets that rendezvous hashing selects for the prompt's prefix, unless their load is
+ * well above the average. Falls back to the least loaded target.
  */
 public enum PrefixThenLeastLoaded implements TargetChooser {
 
     /** The only instance. */
     INSTANCE;
 
-    /** How many targets share the requests of one prefix. */
+    /** Number of targets that share the requests of one prefix. */
     private static final int REPLICAS = 2;
 
-    /** How far above the average load a preferred target may be. */
-    private static final double LOAD_BOUND = 1.25;
+    /** Maximum load of a preferred target, as a multiple of the pool's average. */
+    private static final double RELATIVE_LOAD_BOUND = 1.25;
 
-    /** The load that a preferred target may always have. */
-    private static final double FREE_LOAD = 0.5;
+    /** Load up to which a preferred target is always chosen, whatever the average. */
+    private static final double MIN_LOAD_BOUND = 0.5;
 
     @Override
     public Optional<Target> choose(
             WaitingRequest request, List<Target> pool, List<Target> usable, TargetLoads loads) {
         double average = pool.stream().mapToDouble(loads::load).average().orElse(0);
-        double bound = Math.max(FREE_LOAD, average * LOAD_BOUND);
+        double bound = Math.max(MIN_LOAD_BOUND, average * RELATIVE_LOAD_BOUND);
         return preferred(request, pool).stream()
                 .filter(usable::contains)
                 .filter(target -> loads.load(target) <= bound)
@@ -42,11 +42,11 @@
     }
 
     /**
-     * Returns the targets that a prefix belongs to.
+     * Returns the targets that a prefix maps to.
      *
      * @param request The request.
      * @param pool All targets that serve the request's pool.
-     * @return The targets, the most preferred first.
+     * @return The targets, the most preferred first; empty if the request has no prefix.
      */
     private static List<Target> preferred(WaitingRequest request, List<Target> pool) {
         if (request.prefix() == 0) {
--- a/src/main/java/org/martenwell/schedule/QueueKey.java
+++ b/src/main/java/org/martenwell/schedule/QueueKey.java
@@ -3,18 +3,18 @@
 import org.martenwell.configuration.Pool;
 
 /**
- * Names one queue of a router.
+ * Identifies a queue of a router.
  *
- * @param pool The pool that its requests wait for.
- * @param organisation The organisation that they belong to.
+ * @param pool The pool that the requests wait for.
+ * @param organisation The organisation that the requests belong to.
  */
 record QueueKey(Pool pool, String organisation) {
 
     /**
-     * Returns the queue of a request.
+     * Returns the key of a request's queue.
      *
      * @param request The request.
-     * @return The queue.
+     * @return The key.
      */
     static QueueKey of(WaitingRequest request) {
         return new QueueKey(request.pool(), request.organisation());
--- a/src/main/java/org/martenwell/schedule/QueueTable.java
+++ b/src/main/java/org/martenwell/schedule/QueueTable.java
@@ -8,36 +8,34 @@
 import org.martenwell.configuration.Pool;
 import org.martenwell.configuration.Target;
 
-/** The requests that wait at one router, by pool and organisation. Empty queues are dropped. */
+/** Requests waiting at one router, by pool and organisation. Empty queues are removed. */
 final class QueueTable {
 
-    /** The queues, none empty. */
     private final Map<QueueKey, WaitingQueue> queues = new LinkedHashMap<>();
 
-    /** The number of requests that wait. */
     private int waiting;
 
-    /** Creates a table without requests. */
+    /** Creates an empty table. */
     QueueTable() {}
 
     /**
-     * Adds a request.
+     * Adds a request to its queue.
      *
      * @param request The request.
-     * @return Its queue.
+     * @return The key of the queue.
      */
     QueueKey add(WaitingRequest request) {
         QueueKey key = QueueKey.of(request);
-        queues.computeIfAbsent(key, any -> new WaitingQueue()).add(request);
+        queues.computeIfAbsent(key, ignored -> new WaitingQueue()).add(request);
         waiting++;
         return key;
     }
 
     /**
-     * Removes a request.
+     * Removes a request from its queue.
      *
      * @param request The request.
-     * @return {@code true} if it was waiting.
+     * @return {@code true} if the request was waiting.
      */
     boolean remove(WaitingRequest request) {
         QueueKey key = QueueKey.of(request);
@@ -51,10 +49,10 @@
     }
 
     /**
-     * Takes the next request of a queue.
+     * Removes the next request of a queue.
      *
-     * @param key The queue, which is not empty.
-     * @param preferred Tells whether a request suits the target better than others.
+     * @param key The queue, which must not be empty.
+     * @param preferred Accepts the requests that the target prefers.
      * @return The request.
      */
     WaitingRequest take(QueueKey key, Predicate<WaitingRequest> preferred) {
@@ -66,30 +64,26 @@
     }
 
     /**
-     * Returns whether anything waits in a queue.
+     * Checks whether a queue has waiting requests.
      *
      * @param key The queue.
-     * @return {@code true} if so.
+     * @return {@code true} if at least one request waits.
      */
     boolean contains(QueueKey key) {
         return queues.containsKey(key);
     }
 
-    /**
-     * Returns the queues in which something waits.
-     *
-     * @return The queues.
-     */
+    /** {@return the keys of all queues, none of them empty} */
     List<QueueKey> keys() {
         return List.copyOf(queues.keySet());
     }
 
     /**
-     * Finds the queue of an organisation with the most urgent request that a target may serve.
+     * Finds the queue that holds an organisation's most urgent request for a target.
      *
      * @param target The target.
      * @param organisation The organisation.
-     * @return The queue or empty if nothing waits.
+     * @return The queue, or empty if no request waits that the target serves.
      */
     Optional<QueueKey> mostUrgent(Target target, String organisation) {
         QueueKey chosen = null;
@@ -97,8 +91,8 @@
         for (Pool pool : target.pools()) {
             QueueKey key = new QueueKey(pool, organisation);
             WaitingQueue queue = queues.get(key);
-            if (queue != null && queue.first().orElseThrow().urgentSince() < earliest) {
-                earliest = queue.first().orElseThrow().urgentSince();
+            if (queue != null && queue.first().orElseThrow().effectiveArrival() < earliest) {
+                earliest = queue.first().orElseThrow().effectiveArrival();
                 chosen = key;
             }
         }
@@ -106,36 +100,26 @@
     }
 
     /**
-     * Returns what a keeper would be told of a queue now.
+     * Returns the current state of a queue, as reported to coordinators.
      *
      * @param key The queue.
-     * @param limit The largest number of requests that is told.
-     * @return What is the case.
+     * @param limit The maximum number of waiting requests to report.
+     * @return The state.
      */
-    ToldDemand demand(QueueKey key, int limit) {
+    QueueState demand(QueueKey key, int limit) {
         WaitingQueue queue = queues.get(key);
         if (queue == null) {
-            return ToldDemand.NOTHING;
+            return QueueState.EMPTY;
         }
-        long urgentSince = queue.first().orElseThrow().urgentSince();
-        return new ToldDemand(Math.min(queue.size(), limit), urgentSince);
+        long effectiveArrival = queue.first().orElseThrow().effectiveArrival();
+        return new QueueState(Math.min(queue.size(), limit), effectiveArrival);
     }
 
-    /**
-     * Returns how many requests wait.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of waiting requests in all queues} */
     int waiting() {
         return waiting;
     }
 
-    /**
-     * Drops a queue in which nothing waits.
-     *
-     * @param key The queue.
-     * @param queue The queue's requests.
-     */
     private void dropIfEmpty(QueueKey key, WaitingQueue queue) {
         if (queue.size() == 0) {
             queues.remove(key);
--- a/src/main/java/org/martenwell/schedule/RouterDemand.java
+++ b/src/main/java/org/martenwell/schedule/RouterDemand.java
@@ -1,9 +1,10 @@
 package org.martenwell.schedule;
 
 /**
- * What one router has waiting in one queue.
+ * State of one queue at one router, as known to a coordinator.
  *
- * @param waiting How many requests wait, at most the limit that routers tell.
- * @param urgentSince Since when the first one is urgent, in the keeper's time.
+ * @param waiting The number of waiting requests, capped by the reporting limit.
+ * @param effectiveArrival The effective arrival time of the first request, in the coordinator's
+ *     clock.
  */
-record RouterDemand(int waiting, long urgentSince) {}
+record RouterDemand(int waiting, long effectiveArrival) {}
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -11,95 +11,92 @@
 import org.martenwell.configuration.Target;
 
 /**
- * A router's side of scheduling: it matches the requests that wait with the slots that keepers
- * granted or lent, and tells keepers what changed.
+ * The router's side of scheduling. Matches waiting requests with the slots that coordinators
+ * granted or lent to this router, and collects the changes to report to them.
  */
 public final class RouterSlots implements TargetLoads {
 
-    /** This router's incarnation. */
     private final long incarnation;
 
-    /** Chooses among targets. */
     private final TargetChooser chooser;
 
-    /** The requests that wait. */
     private final QueueTable queues = new QueueTable();
 
-    /** The slots. */
     private final HeldSlots slots = new HeldSlots();
 
-    /** Tells keepers what changed. */
-    private final KeeperReports reports;
+    private final CoordinatorReports reports;
 
-    /** The targets that take no new work. */
-    private final Set<String> closed = new HashSet<>();
+    /** Names of the targets that accept no new requests. */
+    private final Set<String> unavailableTargets = new HashSet<>();
 
-    /** The targets of each pool. */
+    /** Targets by pool. */
     private Map<Pool, List<Target>> pools = Map.of();
 
     /**
-     * Creates a router's slots.
+     * Creates an instance without targets and slots.
      *
      * @param name This router's name.
      * @param incarnation This router's incarnation.
-     * @param parameters The numbers that tune scheduling.
-     * @param chooser Chooses among targets.
+     * @param parameters The scheduling parameters.
+     * @param chooser The strategy for choosing among targets.
      */
     public RouterSlots(
             String name, long incarnation, SchedulingParameters parameters, TargetChooser chooser) {
         this.incarnation = incarnation;
         this.chooser = chooser;
-        this.reports = new KeeperReports(name, incarnation, parameters, queues, slots);
+        this.reports = new CoordinatorReports(name, incarnation, parameters, queues, slots);
     }
 
     /**
-     * Changes the targets and their keepers. Requests that run go on in their slots; slots of
-     * earlier keepers that are idle are dropped.
+     * Sets the targets and their coordinators. Running requests keep their slots; idle slots of
+     * previous coordinators are dropped.
      *
      * @param targets All targets.
-     * @param keepers The keeper of each target, by target.
+     * @param keepers The coordinators by target name.
      */
     public void assign(List<Target> targets, Map<String, KeeperReference> keepers) {
-        Map<Pool, List<Target>> changed = new HashMap<>();
+        Map<Pool, List<Target>> targetsByPool = new HashMap<>();
         for (Target target : targets) {
             for (Pool pool : target.pools()) {
-                changed.computeIfAbsent(pool, key -> new ArrayList<>()).add(target);
+                targetsByPool.computeIfAbsent(pool, key -> new ArrayList<>()).add(target);
             }
         }
-        pools = changed;
+        pools = targetsByPool;
         slots.assign(targets, keepers);
-        reports.assign(keepers, changed);
+        reports.assign(keepers, targetsByPool);
     }
 
     /**
-     * Makes the next report to a keeper complete, because earlier ones may have been lost.
+     * Makes the next report to a coordinator complete, because earlier reports may have been lost
+     * with a connection.
      *
-     * @param keeper The keeper's name.
+     * @param keeper The coordinator's name.
      */
     public void connectionLost(String keeper) {
         reports.requireComplete(keeper);
     }
 
     /**
-     * Says whether a target takes new work. Idle slots of one that does not go back.
+     * Sets whether a target accepts new requests. Idle slots of a target that does not are
+     * released.
      *
      * @param target The target's name.
-     * @param takesWork {@code false} if it is leaving or away.
+     * @param takesWork {@code false} if the target is draining or unavailable.
      */
     public void open(String target, boolean takesWork) {
         if (takesWork) {
-            closed.remove(target);
+            unavailableTargets.remove(target);
             return;
         }
-        closed.add(target);
+        unavailableTargets.add(target);
         slots.find(target).ifPresent(this::releaseIdle);
     }
 
     /**
-     * Takes a slot that is lent, if one is idle.
+     * Assigns a request to an idle lent slot.
      *
      * @param request The request.
-     * @return The assignment or empty if the request has to wait.
+     * @return The assignment, or empty if no lent slot is idle and the request has to wait.
      */
     public Optional<Assignment> takeLent(WaitingRequest request) {
         List<Target> pool = pools.getOrDefault(request.pool(), List.of());
@@ -107,13 +104,13 @@
         return chooser.choose(request, pool, usable, this)
                 .flatMap(target -> slots.find(target.name()))
                 .map(
-                        share -> {
-                            boolean prefix = chooser.prefers(request, pool, share.target());
+                        targetSlots -> {
+                            boolean prefix = chooser.prefers(request, pool, targetSlots.target());
                             AssignmentReason reason =
                                     prefix
                                             ? AssignmentReason.LENT_PREFIX
                                             : AssignmentReason.LENT_LEAST_LOADED;
-                            return use(request, share, SlotClass.ANY, reason);
+                            return use(request, targetSlots, SlotClass.ANY, reason);
                         });
     }
 
@@ -127,10 +124,10 @@
     }
 
     /**
-     * Removes a request from its queue.
+     * Removes a request from its queue, after a timeout or cancellation.
      *
      * @param request The request.
-     * @return {@code true} if it was still waiting.
+     * @return {@code true} if the request was still waiting.
      */
     public boolean withdraw(WaitingRequest request) {
         boolean removed = queues.remove(request);
@@ -141,11 +138,12 @@
     }
 
     /**
-     * Takes in a keeper's grants and matches them with waiting requests. Granted slots that no
-     * request can use go back at once.
+     * Applies grants and matches their slots with waiting requests. Granted slots that no request
+     * can use are released at once. Grants to another incarnation of this router or from an
+     * outdated coordinator are ignored.
      *
      * @param grants The grants.
-     * @return The requests that got slots.
+     * @return The requests that received slots.
      */
     public List<Assignment> receive(SlotGrants grants) {
         List<Assignment> assignments = new ArrayList<>();
@@ -158,14 +156,14 @@
         }
         for (SlotGrant grant : grants.grants()) {
             slots.find(grant.target())
-                    .filter(share -> share.keeper().equals(keeper))
-                    .ifPresent(share -> receive(share, grant, assignments));
+                    .filter(targetSlots -> targetSlots.keeper().equals(keeper))
+                    .ifPresent(targetSlots -> receive(targetSlots, grant, assignments));
         }
         return assignments;
     }
 
     /**
-     * Ends the use of a slot and gives it back.
+     * Releases a slot when its request ends. Has no effect on a slot that was already released.
      *
      * @param slot The slot.
      * @param failed {@code true} if the target failed.
@@ -184,29 +182,21 @@
     }
 
     /**
-     * Returns what keepers have to be told now.
+     * Takes the pending reports to coordinators.
      *
-     * @param now The time.
-     * @return The reports by keeper; keepers with no news are left out.
+     * @param now The current time in milliseconds.
+     * @return The reports by coordinator; coordinators without changes are absent.
      */
     public Map<KeeperReference, SlotReport> takeReports(long now) {
         return reports.take(now);
     }
 
-    /**
-     * Returns how many requests wait at this router.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of requests waiting at this router} */
     public int waiting() {
         return queues.waiting();
     }
 
-    /**
-     * Returns how many requests of this router run.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of requests running through this router} */
     public int running() {
         return slots.running();
     }
@@ -216,99 +206,99 @@
         return slots.load(target);
     }
 
-    /**
-     * Gives back all idle slots at a target.
-     *
-     * @param share The slots at the target.
-     */
-    private void releaseIdle(HeldShare share) {
-        for (Map.Entry<String, HeldTotals> entry : share.classes().entrySet()) {
+    private void releaseIdle(TargetSlots targetSlots) {
+        for (Map.Entry<String, HeldSlotTotals> entry : targetSlots.classes().entrySet()) {
             if (entry.getValue().releaseIdle() > 0) {
-                reports.slotChanged(share.target().name(), entry.getKey());
+                reports.slotChanged(targetSlots.target().name(), entry.getKey());
             }
         }
     }
 
     /**
-     * Takes in one total and matches its slots.
+     * Applies one total and matches its slots. A later term discards the totals of the previous
+     * one; an earlier term is ignored.
      *
-     * @param share The slots at the target.
+     * @param targetSlots The slots at the target.
      * @param grant The total.
      * @param assignments Receives the requests that got slots.
      */
-    private void receive(HeldShare share, SlotGrant grant, List<Assignment> assignments) {
-        if (grant.term() > share.term()) {
-            share.restart(grant.term());
+    private void receive(TargetSlots targetSlots, SlotGrant grant, List<Assignment> assignments) {
+        if (grant.term() > targetSlots.term()) {
+            targetSlots.restart(grant.term());
         }
-        if (grant.term() < share.term()) {
+        if (grant.term() < targetSlots.term()) {
             return;
         }
-        HeldTotals totals = share.totals(grant.slotClass());
-        int fresh = totals.receive(grant.total());
-        if (closed.contains(grant.target())) {
+        HeldSlotTotals totals = targetSlots.totals(grant.slotClass());
+        int newSlots = totals.receive(grant.total());
+        if (unavailableTargets.contains(grant.target())) {
             totals.releaseIdle();
         } else if (grant.slotClass().equals(SlotClass.ANY)) {
-            share.recalled(grant.recalled());
-            matchLent(share, totals, assignments);
+            targetSlots.recalled(grant.recalled());
+            matchLent(targetSlots, totals, assignments);
         } else {
-            matchGranted(share, grant.slotClass(), totals, assignments);
+            matchGranted(targetSlots, grant.slotClass(), totals, assignments);
         }
-        if (fresh > 0 || grant.recalled()) {
+        if (newSlots > 0 || grant.recalled()) {
             reports.slotChanged(grant.target(), grant.slotClass());
         }
     }
 
     /**
-     * Matches lent slots with waiting requests, and gives the rest back if they are recalled.
+     * Matches lent slots with waiting requests, or releases them if they are recalled.
      *
-     * @param share The slots at the target.
+     * @param targetSlots The slots at the target.
      * @param totals The totals of lent slots.
      * @param assignments Receives the requests that got slots.
      */
-    private void matchLent(HeldShare share, HeldTotals totals, List<Assignment> assignments) {
-        if (share.recalled()) {
+    private void matchLent(
+            TargetSlots targetSlots, HeldSlotTotals totals, List<Assignment> assignments) {
+        if (targetSlots.recalled()) {
             totals.releaseIdle();
             return;
         }
         for (QueueKey key : queues.keys()) {
-            boolean served = share.target().serves(key.pool());
+            boolean served = targetSlots.target().serves(key.pool());
             while (served && totals.idle() > 0 && queues.contains(key)) {
-                assignments.add(assign(key, share, SlotClass.ANY));
+                assignments.add(assign(key, targetSlots, SlotClass.ANY));
             }
         }
     }
 
     /**
-     * Matches granted slots with waiting requests and gives the rest back.
+     * Matches granted slots with waiting requests and releases those left over.
      *
-     * @param share The slots at the target.
-     * @param organisation The organisation that they were granted to.
+     * @param targetSlots The slots at the target.
+     * @param organisation The organisation that the slots were granted to.
      * @param totals The totals of its slots.
      * @param assignments Receives the requests that got slots.
      */
     private void matchGranted(
-            HeldShare share, String organisation, HeldTotals totals, List<Assignment> assignments) {
+            TargetSlots targetSlots,
+            String organisation,
+            HeldSlotTotals totals,
+            List<Assignment> assignments) {
         while (totals.idle() > 0) {
-            Optional<QueueKey> queue = queues.mostUrgent(share.target(), organisation);
+            Optional<QueueKey> queue = queues.mostUrgent(targetSlots.target(), organisation);
             if (queue.isEmpty()) {
                 totals.releaseIdle();
                 return;
             }
-            assignments.add(assign(queue.get(), share, organisation));
+            assignments.add(assign(queue.get(), targetSlots, organisation));
         }
     }
 
     /**
-     * Takes the next request of a queue and gives it an idle slot.
+     * Assigns the next request of a queue to an idle slot.
      *
      * @param key The queue, not empty.
-     * @param share The slots at the target.
+     * @param targetSlots The slots at the target.
      * @param slotClass The class of the slot.
      * @return The assignment.
      */
-    private Assignment assign(QueueKey key, HeldShare share, String slotClass) {
+    private Assignment assign(QueueKey key, TargetSlots targetSlots, String slotClass) {
         List<Target> pool = pools.getOrDefault(key.pool(), List.of());
-        Target target = share.target();
+        Target target = targetSlots.target();
         WaitingRequest request =
                 queues.take(key, candidate -> chooser.prefers(candidate, pool, target));
         reports.queueChanged(key);
@@ -316,22 +306,25 @@
                 chooser.prefers(request, pool, target)
                         ? AssignmentReason.GRANTED_PREFIX
                         : AssignmentReason.GRANTED;
-        return use(request, share, slotClass, reason);
+        return use(request, targetSlots, slotClass, reason);
     }
 
     /**
      * Takes an idle slot into use.
      *
      * @param request The request.
-     * @param share The slots at the target.
+     * @param targetSlots The slots at the target.
      * @param slotClass The class of the slot.
-     * @param reason Why this target.
+     * @param reason The reason for choosing the target.
      * @return The assignment.
      */
     private Assignment use(
-            WaitingRequest request, HeldShare share, String slotClass, AssignmentReason reason) {
-        Slot slot = slots.use(share, slotClass, request.organisation());
-        reports.slotChanged(share.target().name(), request.organisation());
+            WaitingRequest request,
+            TargetSlots targetSlots,
+            String slotClass,
+            AssignmentReason reason) {
+        Slot slot = slots.use(targetSlots, slotClass, request.organisation());
+        reports.slotChanged(targetSlots.target().name(), request.organisation());
         return new Assignment(request, slot, reason);
     }
 }
--- a/src/main/java/org/martenwell/schedule/SchedulingParameters.java
+++ b/src/main/java/org/martenwell/schedule/SchedulingParameters.java
@@ -1,35 +1,42 @@
 package org.martenwell.schedule;
 
 /**
- * The numbers that tune scheduling; {@code docs/design/scheduling.md} tells how they were chosen.
+ * Parameters of the scheduler; {@code docs/design/scheduling.md} explains the defaults.
  *
- * @param horizonMillis How far ahead slots in use count as service when organisations are ranked.
- * @param slotRate The service that one slot in use delivers a second, in units.
- * @param idleGraceMillis How long an organisation may have nothing waiting without losing its rank.
- * @param settleMillis How long a new keeper waits for routers that have not told their slots.
- * @param grantsAhead How many slots beyond a target's own a keeper grants while work waits.
- * @param demandLimit The largest number of waiting requests that a router tells of one queue.
- * @param headChangeMillis How far the head of a queue moves before a router tells of it again.
- * @param refreshMillis How often a router repeats everything to a keeper.
- * @param resendMillis How long a keeper waits before it repeats a grant that was not seen.
+ * @param horizonMillis The period for which slots in use count as expected service when
+ *     organisations are ranked.
+ * @param slotRate The service that one slot in use delivers, in units per second.
+ * @param idleGraceMillis The time without waiting requests after which an organisation counts as
+ *     idle.
+ * @param initialReportTimeoutMillis The maximum time that a new coordinator waits for the reports
+ *     of all routers.
+ * @param overcommitSlots The number of slots beyond a target's capacity that a coordinator grants
+ *     while requests wait.
+ * @param maxReportedWaiting The maximum number of waiting requests that a router reports for one
+ *     queue.
+ * @param headShiftToleranceMillis The change of the first request's effective arrival from which a
+ *     router reports a queue again.
+ * @param completeReportIntervalMillis The interval between complete reports of a router to a
+ *     coordinator.
+ * @param resendMillis The time after which a coordinator resends an unacknowledged grant.
  */
 public record SchedulingParameters(
         long horizonMillis,
         double slotRate,
         long idleGraceMillis,
-        long settleMillis,
-        int grantsAhead,
-        int demandLimit,
-        long headChangeMillis,
-        long refreshMillis,
+        long initialReportTimeoutMillis,
+        int overcommitSlots,
+        int maxReportedWaiting,
+        long headShiftToleranceMillis,
+        long completeReportIntervalMillis,
         long resendMillis) {
 
-    /** The numbers in use unless a test says otherwise. */
+    /** The parameters used in production. */
     public static final SchedulingParameters DEFAULTS =
             new SchedulingParameters(2_000, 36, 2_000, 2_000, 1, 8, 250, 5_000, 1_000);
 
     /**
-     * Returns a copy with another horizon.
+     * Returns a copy with a different horizon.
      *
      * @param millis The horizon in milliseconds.
      * @return The copy.
@@ -39,11 +46,11 @@
                 millis,
                 slotRate,
                 idleGraceMillis,
-                settleMillis,
-                grantsAhead,
-                demandLimit,
-                headChangeMillis,
-                refreshMillis,
+                initialReportTimeoutMillis,
+                overcommitSlots,
+                maxReportedWaiting,
+                headShiftToleranceMillis,
+                completeReportIntervalMillis,
                 resendMillis);
     }
 }
--- a/src/main/java/org/martenwell/schedule/ServiceCounters.java
+++ b/src/main/java/org/martenwell/schedule/ServiceCounters.java
@@ -8,46 +8,45 @@
 import java.util.Set;
 
 /**
- * The weighted service of every organisation, summed over this router's own counters and those that
- * peers reported. Each peer incarnation's counters are merged by maximum.
+ * Weighted service of every organisation over the fleet: the sum of this router's own counters and
+ * those that peers reported. The counters of each peer incarnation are merged by maximum, so
+ * reports may be lost, repeated or reordered. Organisations that return from idle are raised to a
+ * common level (counter lift).
  */
 public final class ServiceCounters {
 
-    /** This router's name. */
     private final String router;
 
-    /** This router's incarnation. */
     private final long incarnation;
 
-    /** The service this router delivered, by organisation. */
-    private final Map<String, Double> own = new HashMap<>();
+    /** Service delivered by this router, by organisation. */
+    private final Map<String, Double> ownService = new HashMap<>();
 
-    /** The slots this router has granted as keeper, by organisation. */
+    /** Slots granted by this router as coordinator and not yet released, by organisation. */
     private final Map<String, Integer> ownInUse = new HashMap<>();
 
-    /** The counters of peers, by router and incarnation. */
     private final Map<PeerIncarnation, PeerCounters> peers = new HashMap<>();
 
-    /** The sums over all peers, by organisation. */
-    private final Map<String, Double> peerSums = new HashMap<>();
+    /** Service delivered by all peers, by organisation. */
+    private final Map<String, Double> peerService = new HashMap<>();
 
-    /** The service added on return from idle, by organisation. */
+    /** Service credited on return from idle, by organisation. */
     private final Map<String, Double> lifts = new HashMap<>();
 
-    /** The organisations whose numbers changed since the last report. */
-    private final Set<String> changed = new HashSet<>();
+    /** Organisations whose counters changed since the last report. */
+    private final Set<String> changedOrganisations = new HashSet<>();
 
-    /** The organisations that were granted slots since the last report. */
-    private final Set<String> granted = new HashSet<>();
+    /** Organisations that were granted slots since the last report. */
+    private final Set<String> newlyGranted = new HashSet<>();
 
-    /** The greatest service seen as the least among the backlogged. */
-    private double level;
+    /** Highest value seen of the least service among backlogged organisations. */
+    private double liftLevel;
 
-    /** The number of the next report. */
+    /** Sequence number of the last report. */
     private long sequence;
 
     /**
-     * Creates empty counters.
+     * Creates counters of zero.
      *
      * @param router This router's name.
      * @param incarnation This router's incarnation.
@@ -58,111 +57,113 @@
     }
 
     /**
-     * Counts service that this router delivered.
+     * Adds service that this router delivered.
      *
      * @param organisation The organisation served.
-     * @param weightedService The service divided by the organisation's weight.
+     * @param weightedService The service in units, divided by the organisation's weight.
      */
     public void add(String organisation, double weightedService) {
-        own.merge(organisation, weightedService, Double::sum);
-        changed.add(organisation);
+        ownService.merge(organisation, weightedService, Double::sum);
+        changedOrganisations.add(organisation);
     }
 
     /**
-     * Notes how many slots this router has granted as keeper.
+     * Changes the number of slots that this router has granted as coordinator.
      *
      * @param organisation The organisation.
-     * @param difference The change.
+     * @param difference The change, negative for released slots.
      */
     void changeInUse(String organisation, int difference) {
         ownInUse.merge(organisation, difference, Integer::sum);
-        changed.add(organisation);
+        changedOrganisations.add(organisation);
         if (difference > 0) {
-            granted.add(organisation);
+            newlyGranted.add(organisation);
         }
     }
 
     /**
-     * Returns an organisation's weighted service over the fleet, with its lift.
+     * Returns an organisation's weighted service over the fleet, including its lift.
      *
      * @param organisation The organisation.
      * @return The service in units.
      */
     public double total(String organisation) {
-        return own.getOrDefault(organisation, 0.0)
-                + peerSums.getOrDefault(organisation, 0.0)
+        return ownService.getOrDefault(organisation, 0.0)
+                + peerService.getOrDefault(organisation, 0.0)
                 + lifts.getOrDefault(organisation, 0.0);
     }
 
     /**
-     * Returns an organisation's weighted service over the fleet, without its lift.
+     * Returns an organisation's weighted service over the fleet, excluding its lift.
      *
      * @param organisation The organisation.
      * @return The service in units.
      */
     public double served(String organisation) {
-        return own.getOrDefault(organisation, 0.0) + peerSums.getOrDefault(organisation, 0.0);
+        return ownService.getOrDefault(organisation, 0.0)
+                + peerService.getOrDefault(organisation, 0.0);
     }
 
     /**
-     * Returns the slots granted to an organisation over the fleet.
+     * Returns the number of slots granted to an organisation over the fleet.
      *
      * @param organisation The organisation.
      * @return The number of slots.
      */
     public int inUse(String organisation) {
-        int sum = ownInUse.getOrDefault(organisation, 0);
+        int total = ownInUse.getOrDefault(organisation, 0);
         for (PeerCounters peer : peers.values()) {
-            sum += peer.inUse(organisation);
+            total += peer.inUse(organisation);
         }
-        return sum;
+        return total;
     }
 
     /**
-     * Lifts an organisation that returns from idle, so that it cannot cash in the past.
+     * Raises an organisation that returns from idle to the lift level, so that it gains no priority
+     * from the time it was idle.
      *
      * @param organisation The organisation.
      */
     void lift(String organisation) {
-        double missing = level - total(organisation);
-        if (missing > 0) {
-            lifts.merge(organisation, missing, Double::sum);
-            changed.add(organisation);
+        double deficit = liftLevel - total(organisation);
+        if (deficit > 0) {
+            lifts.merge(organisation, deficit, Double::sum);
+            changedOrganisations.add(organisation);
         }
     }
 
     /**
-     * Raises the level to which organisations are lifted.
+     * Raises the lift level. Lower values have no effect.
      *
-     * @param least The least service among the backlogged.
+     * @param leastService The least service among the backlogged organisations.
      */
-    void raiseLevel(double least) {
-        level = Math.max(level, least);
+    void raiseLiftLevel(double leastService) {
+        liftLevel = Math.max(liftLevel, leastService);
     }
 
     /**
-     * Takes in a peer's report.
+     * Merges a peer's report.
      *
      * @param report The report.
      */
     public void receive(ServiceReport report) {
         PeerIncarnation peer = new PeerIncarnation(report.router(), report.incarnation());
-        boolean newest = !hasLater(peer);
+        boolean newest = !hasLaterIncarnation(peer);
         PeerCounters counters = peers.computeIfAbsent(peer, key -> new PeerCounters());
         for (ServiceEntry entry : report.entries()) {
-            double growth = counters.receive(entry, report.sequence(), newest);
-            peerSums.merge(entry.organisation(), growth, Double::sum);
+            double increase = counters.receive(entry, report.sequence(), newest);
+            peerService.merge(entry.organisation(), increase, Double::sum);
             lifts.merge(entry.organisation(), entry.lift(), Math::max);
         }
-        raiseLevel(report.level());
+        raiseLiftLevel(report.level());
         if (newest) {
-            forgetGaugesBefore(peer);
+            clearInUseBefore(peer);
         }
     }
 
     /**
-     * Forgets the slots that a peer granted as keeper, because it is no longer a member. What it
-     * served is kept.
+     * Clears the slots granted by a peer that is no longer a member. The service it delivered is
+     * kept.
      *
      * @param name The peer's name.
      */
@@ -175,45 +176,46 @@
     }
 
     /**
-     * Takes the changes since the last call.
+     * Takes the counters that changed since they were last reported.
      *
      * @return The report, possibly without entries.
      */
     public ServiceReport takeChanges() {
-        ServiceReport report = report(changed);
-        changed.clear();
-        granted.clear();
+        ServiceReport report = buildReport(changedOrganisations);
+        changedOrganisations.clear();
+        newlyGranted.clear();
         return report;
     }
 
     /**
-     * Takes the organisations whose granted slots changed since the last call. Peers are told of
-     * these at once, because keepers that do not know of each other's grants all favour the same
-     * organisation.
+     * Takes the counters of organisations that were granted slots since the last report. Peers
+     * receive these without delay; otherwise coordinators unaware of each other's grants would all
+     * favour the same organisation.
      *
      * @return The report, possibly without entries.
      */
     public ServiceReport takeGrantChanges() {
-        ServiceReport report = report(granted);
-        changed.removeAll(granted);
-        granted.clear();
+        ServiceReport report = buildReport(newlyGranted);
+        changedOrganisations.removeAll(newlyGranted);
+        newlyGranted.clear();
         return report;
     }
 
     /**
-     * Returns all counters of this router, for a peer that is new.
+     * Builds a report of all counters of this router, for a peer that has connected.
      *
      * @return The report.
      */
     public ServiceReport everything() {
-        Set<String> all = new HashSet<>(own.keySet());
+        Set<String> all = new HashSet<>(ownService.keySet());
         all.addAll(ownInUse.keySet());
         all.addAll(lifts.keySet());
-        return report(all);
+        return buildReport(all);
     }
 
     /**
-     * Returns what is known of peers, past incarnations included, for a peer that is new.
+     * Builds reports of all counters received from peers, including past incarnations, for a peer
+     * that has connected.
      *
      * @return One report for each known incarnation.
      */
@@ -226,59 +228,55 @@
                             peer.router(),
                             peer.incarnation(),
                             entry.getValue().sequence(),
-                            level,
+                            liftLevel,
                             entry.getValue().entries()));
         }
         return reports;
     }
 
-    /**
-     * Returns the organisations that have any service or slot.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the organisations that have received service} */
     public Set<String> organisations() {
-        Set<String> names = new HashSet<>(own.keySet());
-        names.addAll(peerSums.keySet());
+        Set<String> names = new HashSet<>(ownService.keySet());
+        names.addAll(peerService.keySet());
         return names;
     }
 
     /**
-     * Builds a report.
+     * Builds a report with the next sequence number.
      *
      * @param organisations The organisations to report.
      * @return The report.
      */
-    private ServiceReport report(Set<String> organisations) {
+    private ServiceReport buildReport(Set<String> organisations) {
         List<ServiceEntry> entries = new ArrayList<>();
         for (String organisation : organisations) {
             entries.add(
                     new ServiceEntry(
                             organisation,
-                            own.getOrDefault(organisation, 0.0),
+                            ownService.getOrDefault(organisation, 0.0),
                             lifts.getOrDefault(organisation, 0.0),
                             ownInUse.getOrDefault(organisation, 0)));
         }
         sequence++;
-        return new ServiceReport(router, incarnation, sequence, level, entries);
+        return new ServiceReport(router, incarnation, sequence, liftLevel, entries);
     }
 
     /**
-     * Returns whether a later incarnation of the same router is known.
+     * Checks whether a later incarnation of the same router is known.
      *
      * @param peer The incarnation.
      * @return {@code true} if a later one is known.
      */
-    private boolean hasLater(PeerIncarnation peer) {
-        return peers.keySet().stream().anyMatch(known -> known.isLaterThan(peer));
+    private boolean hasLaterIncarnation(PeerIncarnation peer) {
+        return peers.keySet().stream().anyMatch(other -> other.isLaterThan(peer));
     }
 
     /**
-     * Forgets the slots granted by earlier incarnations of a router.
+     * Clears the slots granted by earlier incarnations of a router.
      *
      * @param peer The newest incarnation.
      */
-    private void forgetGaugesBefore(PeerIncarnation peer) {
+    private void clearInUseBefore(PeerIncarnation peer) {
         for (Map.Entry<PeerIncarnation, PeerCounters> entry : peers.entrySet()) {
             if (peer.isLaterThan(entry.getKey())) {
                 entry.getValue().clearInUse();
--- a/src/main/java/org/martenwell/schedule/ServiceEntry.java
+++ b/src/main/java/org/martenwell/schedule/ServiceEntry.java
@@ -1,12 +1,14 @@
 package org.martenwell.schedule;
 
 /**
- * What one router tells of one organisation.
+ * Counters of one organisation, as reported by one router.
  *
  * @param organisation The organisation.
- * @param served The weighted service that the router delivered since its start, never falling.
- * @param lift The weighted service added for all on return from idle, never falling.
- * @param inUse The slots that the router, as keeper, has granted to the organisation and that are
- *     not back.
+ * @param served The weighted service delivered by the router since its start, in units; never
+ *     decreases.
+ * @param lift The weighted service credited to the organisation on return from idle, the same for
+ *     the whole fleet; never decreases.
+ * @param inUse The number of slots that the router, as coordinator, has granted to the organisation
+ *     and that are not released.
  */
 public record ServiceEntry(String organisation, double served, double lift, int inUse) {}
--- a/src/main/java/org/martenwell/schedule/ServiceReport.java
+++ b/src/main/java/org/martenwell/schedule/ServiceReport.java
@@ -4,14 +4,15 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * A router's counters. Counters only grow, so lost, late and repeated reports do no harm.
+ * Service counters of one router, sent to its peers. Counters never decrease, so lost, late and
+ * repeated reports are harmless.
  *
  * @param router The router's name.
- * @param incarnation The router's incarnation, greater after each restart.
- * @param sequence The report's number within the incarnation.
- * @param level The greatest weighted service that the router has seen as the least among the
- *     backlogged, never falling.
- * @param entries The organisations whose numbers changed.
+ * @param incarnation The router's incarnation, which increases with each restart.
+ * @param sequence The report's sequence number within the incarnation.
+ * @param level The weighted service to which organisations returning from idle are raised, in
+ *     units; never decreases.
+ * @param entries The counters of the organisations that changed.
  */
 public record ServiceReport(
         String router, long incarnation, long sequence, double level, List<ServiceEntry> entries)
--- a/src/main/java/org/martenwell/schedule/Slot.java
+++ b/src/main/java/org/martenwell/schedule/Slot.java
@@ -2,59 +2,47 @@
 
 import org.martenwell.configuration.Target;
 
-/** A slot of a target that one request uses. It must be finished exactly once. */
+/** Slot of a target in use by one request. It has to be finished exactly once. */
 public final class Slot {
 
-    /** The account that the slot belongs to. */
-    private final HeldShare share;
+    private final TargetSlots targetSlots;
 
-    /** The keeper's term in which it was granted. */
+    /** Coordinator term in which the slot was granted. */
     private final long term;
 
-    /** The class of the slot. */
     private final String slotClass;
 
-    /** The organisation that uses it. */
     private final String organisation;
 
-    /** {@code true} once the request ended. */
     private boolean finished;
 
     /**
      * Creates a slot in use.
      *
-     * @param share The account that the slot belongs to.
-     * @param term The keeper's term in which it was granted.
+     * @param targetSlots The router's slots at the target.
+     * @param term The coordinator term in which the slot was granted.
      * @param slotClass The class of the slot.
-     * @param organisation The organisation that uses it.
+     * @param organisation The organisation of the request.
      */
-    Slot(HeldShare share, long term, String slotClass, String organisation) {
-        this.share = share;
+    Slot(TargetSlots targetSlots, long term, String slotClass, String organisation) {
+        this.targetSlots = targetSlots;
         this.term = term;
         this.slotClass = slotClass;
         this.organisation = organisation;
     }
 
-    /**
-     * Returns the target that the slot belongs to.
-     *
-     * @return The target.
-     */
+    /** {@return the target that the slot belongs to} */
     public Target target() {
-        return share.target();
+        return targetSlots.target();
     }
 
-    /**
-     * Returns the organisation that uses the slot.
-     *
-     * @return The organisation.
-     */
+    /** {@return the organisation of the request that uses the slot} */
     public String organisation() {
         return organisation;
     }
 
     /**
-     * Returns whether the slot was lent before anyone waited.
+     * Checks whether the slot was lent to the router ahead of demand.
      *
      * @return {@code true} if it was lent, {@code false} if it was granted to the organisation.
      */
@@ -62,37 +50,25 @@
         return slotClass.equals(SlotClass.ANY);
     }
 
-    /**
-     * Returns the account that the slot belongs to.
-     *
-     * @return The account.
-     */
-    HeldShare share() {
-        return share;
+    /** {@return the router's slots at the target} */
+    TargetSlots targetSlots() {
+        return targetSlots;
     }
 
-    /**
-     * Returns the keeper's term in which it was granted.
-     *
-     * @return The term.
-     */
+    /** {@return the coordinator term in which the slot was granted} */
     long term() {
         return term;
     }
 
-    /**
-     * Returns the class of the slot.
-     *
-     * @return The class.
-     */
+    /** {@return the class of the slot} */
     String slotClass() {
         return slotClass;
     }
 
     /**
-     * Notes that the request ended.
+     * Marks the slot as finished.
      *
-     * @return {@code true} the first time.
+     * @return {@code true} on the first call.
      */
     boolean finish() {
         boolean first = !finished;
--- a/src/main/java/org/martenwell/schedule/SlotClass.java
+++ b/src/main/java/org/martenwell/schedule/SlotClass.java
@@ -1,11 +1,16 @@
 package org.martenwell.schedule;
 
-/** Names the class of a slot: the organisation it was granted to, or any. */
+/**
+ * Constants for slot classes. The class of a slot is the organisation that it was granted to, or
+ * {@link #ANY}.
+ */
 public final class SlotClass {
 
-    /** The class of slots that are lent while nobody waits; no organisation can have this name. */
+    /**
+     * The class of lent slots, which any organisation may use. No organisation can have this name.
+     */
     public static final String ANY = "*";
 
-    /** Not instantiated. */
+    /** Prevents instantiation. */
     private SlotClass() {}
 }
--- a/src/main/java/org/martenwell/schedule/SlotGrants.java
+++ b/src/main/java/org/martenwell/schedule/SlotGrants.java
@@ -4,12 +4,13 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * What a keeper tells a router.
+ * Message from a coordinator to a router with the grants that changed.
  *
- * @param keeper The keeper's name.
- * @param incarnation The keeper's incarnation.
- * @param routerIncarnation The incarnation of the router that the totals belong to.
- * @param completeWanted {@code true} if the router is to report everything.
+ * @param keeper The coordinator's name.
+ * @param incarnation The coordinator's incarnation.
+ * @param routerIncarnation The incarnation of the router that the totals belong to, or 0 if it is
+ *     unknown.
+ * @param completeWanted {@code true} if the router has to send a complete report.
  * @param grants The totals that changed.
  */
 public record SlotGrants(
--- a/src/main/java/org/martenwell/schedule/SlotReport.java
+++ b/src/main/java/org/martenwell/schedule/SlotReport.java
@@ -4,16 +4,17 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * What a router tells a keeper.
+ * Message from a router to a coordinator with the state of queues and slots.
  *
  * @param router The router's name.
  * @param incarnation The router's incarnation.
- * @param keeperIncarnation The incarnation of the keeper that the totals belong to.
- * @param sequence The report's number within the incarnation; a keeper ignores earlier ones.
+ * @param keeperIncarnation The incarnation of the coordinator that the slot totals belong to.
+ * @param sequence The sequence number within the router's incarnation; outdated reports are
+ *     ignored.
  * @param complete {@code true} if queues and slots that are not listed are empty.
  * @param demands The queues that changed.
  * @param holdings The slots that changed.
- * @param failures The targets whose totals of failed requests changed.
+ * @param failures The failure counts that changed.
  */
 public record SlotReport(
         String router,
--- a/src/main/java/org/martenwell/schedule/TargetLoads.java
+++ b/src/main/java/org/martenwell/schedule/TargetLoads.java
@@ -2,7 +2,7 @@
 
 import org.martenwell.configuration.Target;
 
-/** Tells how loaded targets are. */
+/** Lookup of the current loads of targets. */
 @FunctionalInterface
 public interface TargetLoads {
 
@@ -10,7 +10,7 @@
      * Returns a target's load.
      *
      * @param target The target.
-     * @return The share of its slots in use, as far as known.
+     * @return The share of its slots in use, as far as known to the caller.
      */
     double load(Target target);
 }
--- a/src/main/java/org/martenwell/schedule/WaitingQueue.java
+++ b/src/main/java/org/martenwell/schedule/WaitingQueue.java
@@ -5,19 +5,21 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** The requests of one organisation that wait for one pool, most urgent first. */
+/** Requests of one organisation that wait for one pool, most urgent first. */
 final class WaitingQueue {
 
-    /** How many requests are looked at to find one that the target's cache helps. */
-    private static final int PREFIX_SEARCH = 8;
+    /** Maximum number of requests examined to find one that the target prefers. */
+    private static final int PREFIX_SCAN_LIMIT = 8;
 
-    /** How much less urgent than the first a request may be to be preferred, in milliseconds. */
-    private static final long PREFIX_PATIENCE_MILLIS = 500;
+    /**
+     * Maximum difference in effective arrival by which a preferred request may overtake the first.
+     */
+    private static final long PREFIX_REORDER_WINDOW_MILLIS = 500;
 
-    /** The requests, most urgent first. */
+    /** Requests in the order of effective arrival; ties are broken by request number. */
     private final TreeSet<WaitingRequest> requests =
             new TreeSet<>(
-                    Comparator.comparingLong(WaitingRequest::urgentSince)
+                    Comparator.comparingLong(WaitingRequest::effectiveArrival)
                             .thenComparingLong(WaitingRequest::number));
 
     /** Creates an empty queue. */
@@ -36,37 +38,33 @@
      * Removes a request.
      *
      * @param request The request.
-     * @return {@code true} if it waited here.
+     * @return {@code true} if the request was in this queue.
      */
     boolean remove(WaitingRequest request) {
         return requests.remove(request);
     }
 
-    /**
-     * Returns the most urgent request.
-     *
-     * @return The request or empty if none waits.
-     */
+    /** {@return the most urgent request, or empty if none waits} */
     Optional<WaitingRequest> first() {
         return requests.isEmpty() ? Optional.empty() : Optional.of(requests.first());
     }
 
     /**
-     * Removes the most urgent request, or one nearly as urgent whose prompt the target prefers.
+     * Removes the most urgent request, or a nearly as urgent one that the target prefers.
      *
-     * @param preferred Tells whether the target prefers a request.
-     * @return The request or empty if none waits.
+     * @param preferred Accepts the requests that the target prefers.
+     * @return The request, or empty if none waits.
      */
     Optional<WaitingRequest> poll(Predicate<WaitingRequest> preferred) {
         Optional<WaitingRequest> first = first();
         if (first.isEmpty()) {
             return first;
         }
-        long latest = first.get().urgentSince() + PREFIX_PATIENCE_MILLIS;
+        long latestArrival = first.get().effectiveArrival() + PREFIX_REORDER_WINDOW_MILLIS;
         Optional<WaitingRequest> chosen =
                 requests.stream()
-                        .limit(PREFIX_SEARCH)
-                        .takeWhile(request -> request.urgentSince() <= latest)
+                        .limit(PREFIX_SCAN_LIMIT)
+                        .takeWhile(request -> request.effectiveArrival() <= latestArrival)
                         .filter(preferred)
                         .findFirst()
                         .or(() -> first);
@@ -74,11 +72,7 @@
         return chosen;
     }
 
-    /**
-     * Returns how many requests wait.
-     *
-     * @return The number.
-     */
+    /** {@return the number of waiting requests} */
     int size() {
         return requests.size();
     }
--- a/src/main/java/org/martenwell/schedule/WaitingRequest.java
+++ b/src/main/java/org/martenwell/schedule/WaitingRequest.java
@@ -3,15 +3,16 @@
 import org.martenwell.configuration.Pool;
 
 /**
- * A request that waits for a slot.
+ * Request that waits for a slot.
  *
- * @param number A number that is unique at this router and grows with arrival.
- * @param pool The pool that it waits for.
- * @param organisation The organisation that it belongs to.
- * @param priority Its priority within the organisation.
- * @param prefix The hash of the organisation and the leading block of the prompt.
- * @param arrivedAt When it arrived.
- * @param bytes The memory that it holds while it waits, in bytes.
+ * @param number A number that is unique at this router and increases with each arrival.
+ * @param pool The pool that the request waits for.
+ * @param organisation The organisation that sent the request.
+ * @param priority The priority within the organisation; higher values are served earlier.
+ * @param prefix The hash of the organisation and the leading block of the prompt, or 0 if there is
+ *     none.
+ * @param arrivedAt The arrival time in milliseconds.
+ * @param bytes The memory that the request occupies while it waits, in bytes.
  */
 public record WaitingRequest(
         long number,
@@ -23,17 +24,18 @@
         long bytes) {
 
     /**
-     * The head start that one step of priority gives, in milliseconds. A request of low priority
-     * overtakes later ones of a higher priority once it has waited so much longer.
+     * The head start that one step of priority gives, in milliseconds. A request of lower priority
+     * overtakes later ones of higher priority once it has waited longer by this time, so that none
+     * starves.
      */
     public static final long HEAD_START_MILLIS = 2_000;
 
     /**
-     * Returns when a request of the lowest priority would have had to arrive to be as urgent.
+     * Returns the effective arrival time: the arrival time less the head start of the priority.
      *
-     * @return The time; an earlier one is more urgent.
+     * @return The time in milliseconds; the earliest is the most urgent.
      */
-    public long urgentSince() {
+    public long effectiveArrival() {
         return arrivedAt - priority * HEAD_START_MILLIS;
     }
 }
--- a/src/main/java/org/martenwell/schedule/package-info.java
+++ b/src/main/java/org/martenwell/schedule/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Fair scheduling over the whole fleet, as plain objects: they are given the time and the messages
- * and hold no socket, no thread and no clock. Times are in milliseconds, service is in units of the
- * slot time of one token of the reference model.
+ * Fair scheduling of requests over all routers of a fleet. One router is the coordinator of each
+ * target and grants its slots to routers. The classes perform no I/O and read no clock: messages
+ * and the current time are passed in, so they can run in a simulation. Times are in milliseconds.
+ * Service is measured in units, the slot time of one token of the reference model.
  */
 package org.martenwell.schedule;
--- a/src/test/java/org/martenwell/schedule/FleetFaultTest.java
+++ b/src/test/java/org/martenwell/schedule/FleetFaultTest.java
@@ -33,7 +33,7 @@
                                     scheduler.kill(7);
                                 }));
         assertThat(result.utilisation()).isGreaterThan(0.99);
-        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.grantsAhead());
+        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
     }
 
     @ParameterizedTest
@@ -55,7 +55,8 @@
                                 .andThen(at(FAULT_ENDS, () -> scheduler.assign(Set.of()))));
         assertThat(result.utilisation()).isGreaterThan(0.99);
         assertThat(result.gap()).isLessThan(1_000);
-        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.grantsAhead() + held[0]);
+        assertThat(result.overCommitted())
+                .isLessThanOrEqualTo(PARAMETERS.overcommitSlots() + held[0]);
     }
 
     @ParameterizedTest
@@ -75,7 +76,7 @@
                                 }));
         assertThat(result.utilisation()).isGreaterThan(0.99);
         assertThat(result.gap()).isLessThan(1_000);
-        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.grantsAhead());
+        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
     }
 
     /** The most slots of one target that a router uses; nobody counts them once it is removed. */
--- a/src/test/java/org/martenwell/schedule/FleetTrialTest.java
+++ b/src/test/java/org/martenwell/schedule/FleetTrialTest.java
@@ -40,7 +40,7 @@
         TrialNetwork bad = new TrialNetwork(2, 20, 0.02, 0.05, 500, true);
         TrialResult result = fleet(TrialSite.coldChain(), bad, seed);
         assertThat(result.utilisation()).isGreaterThan(0.97);
-        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.grantsAhead());
+        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
         assertThat(result.gap()).isLessThan(5_000);
     }
 
@@ -50,7 +50,7 @@
         TrialResult fleet = fleet(site, TrialNetwork.SOUND, seed);
         assertThat(fleet.gap()).isLessThan(4 * central.gap());
         assertThat(fleet.utilisation()).isGreaterThan(0.99 * central.utilisation());
-        assertThat(fleet.overCommitted()).isLessThanOrEqualTo(PARAMETERS.grantsAhead());
+        assertThat(fleet.overCommitted()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
     }
 
     private static TrialResult fleet(TrialSite site, TrialNetwork network, long seed) {
