--- a/src/test/java/org/martenwell/schedule/CentralTrialScheduler.java
+++ b/src/test/java/org/martenwell/schedule/CentralReferenceScheduler.java
@@ -9,10 +9,10 @@
 import org.martenwell.configuration.Target;
 
 /**
- * The naive reference: one scheduler that sees everything without delay and gives each free slot to
- * the organisation of the least service, slots in use counted for the horizon.
+ * Central scheduler without communication delay, used as the reference. Gives each free slot to the
+ * organisation with the least service, including the service expected from its slots in use.
  */
-final class CentralTrialScheduler implements TrialScheduler {
+final class CentralReferenceScheduler implements SimulatedScheduler {
 
     private final Map<String, PriorityQueue<Waiting>> queues = new TreeMap<>();
     private final Map<String, Double> served = new HashMap<>();
@@ -20,7 +20,7 @@
     private final Map<String, Integer> free = new TreeMap<>();
     private final double horizonUnits;
 
-    CentralTrialScheduler(TrialSite site, SchedulingParameters parameters) {
+    CentralReferenceScheduler(SimulatedSite site, SchedulingParameters parameters) {
         horizonUnits = parameters.slotRate() * parameters.horizonMillis() / 1000.0;
         for (Target target : site.targets()) {
             free.put(target.name(), target.slots());
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void finished(TrialStart start, long now) {
+    public void finished(RequestStart start, long now) {
         free.merge(start.target(), 1, Integer::sum);
         inUse.merge(start.request().organisation(), -1, Integer::sum);
     }
@@ -45,8 +45,8 @@
     }
 
     @Override
-    public List<TrialStart> step(long now) {
-        List<TrialStart> starts = new ArrayList<>();
+    public List<RequestStart> step(long now) {
+        List<RequestStart> starts = new ArrayList<>();
         for (Map.Entry<String, Integer> target : free.entrySet()) {
             while (target.getValue() > 0) {
                 String least = leastServed();
@@ -56,7 +56,7 @@
                 Waiting next = queues.get(least).poll();
                 target.setValue(target.getValue() - 1);
                 inUse.merge(least, 1, Integer::sum);
-                starts.add(new TrialStart(next.router, next.request, target.getKey(), this));
+                starts.add(new RequestStart(next.router, next.request, target.getKey(), this));
             }
         }
         return starts;
@@ -78,7 +78,6 @@
         return chosen;
     }
 
-    /** A request that waits. */
     private record Waiting(int router, WaitingRequest request) implements Comparable<Waiting> {
 
         @Override
--- a/src/test/java/org/martenwell/schedule/FleetFaultTest.java
+++ b/src/test/java/org/martenwell/schedule/FleetFaultTest.java
@@ -8,79 +8,83 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Faults in the control path: each ends, and what it does meanwhile stays within a stated bound.
+ * Checks that slots are not lost, and that unfairness and overcommitment stay bounded, when a
+ * router leaves, restarts or is partitioned.
  */
 class FleetFaultTest {
 
-    private static final TrialSite SITE = TrialSite.coldChain();
+    private static final SimulatedSite SITE = SimulatedSite.coldChain();
     private static final SchedulingParameters PARAMETERS = SchedulingParameters.DEFAULTS;
-    private static final long FAULT_AT = 10_000;
-    private static final long FAULT_ENDS = 14_000;
+    private static final long FAULT_START_MILLIS = 10_000;
+    private static final long FAULT_END_MILLIS = 14_000;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void testSlotsOfAKeeperThatLeftAreUsedAgain(long seed) {
-        FleetTrialScheduler scheduler = scheduler(seed);
-        Trial trial = new Trial(SITE, scheduler, seed);
-        TrialResult result =
-                trial.run(
+    void testSlotsOfARemovedCoordinatorAreReused(long seed) {
+        SimulatedFleet scheduler = scheduler(seed);
+        Simulation simulation = new Simulation(SITE, scheduler, seed);
+        SimulationResult result =
+                simulation.run(
                         20,
                         20,
                         at(
-                                FAULT_AT,
+                                FAULT_START_MILLIS,
                                 () -> {
-                                    trial.dropRouter(7);
-                                    scheduler.kill(7);
+                                    simulation.removeRouter(7);
+                                    scheduler.stop(7);
                                 }));
         assertThat(result.utilisation()).isGreaterThan(0.99);
-        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
+        assertThat(result.maxOvercommit()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {4, 5, 6})
-    void testPartitionedRouterRejoinsAndTheGapStopsGrowing(long seed) {
-        FleetTrialScheduler scheduler = scheduler(seed);
-        Trial trial = new Trial(SITE, scheduler, seed);
-        int[] held = {0};
-        TrialResult result =
-                trial.run(
+    void testGapStaysBoundedAfterAPartitionedRouterRejoins(long seed) {
+        SimulatedFleet scheduler = scheduler(seed);
+        Simulation simulation = new Simulation(SITE, scheduler, seed);
+        int[] slotsInUse = {0};
+        SimulationResult result =
+                simulation.run(
                         24,
                         20,
                         at(
-                                        FAULT_AT,
+                                        FAULT_START_MILLIS,
                                         () -> {
-                                            held[0] = mostHeld(scheduler, 4);
+                                            slotsInUse[0] = maxSlotsInUse(scheduler, 4);
                                             scheduler.assign(Set.of(4));
                                         })
-                                .andThen(at(FAULT_ENDS, () -> scheduler.assign(Set.of()))));
+                                .andThen(at(FAULT_END_MILLIS, () -> scheduler.assign(Set.of()))));
         assertThat(result.utilisation()).isGreaterThan(0.99);
         assertThat(result.gap()).isLessThan(1_000);
-        assertThat(result.overCommitted())
-                .isLessThanOrEqualTo(PARAMETERS.overcommitSlots() + held[0]);
+        assertThat(result.maxOvercommit())
+                .isLessThanOrEqualTo(PARAMETERS.overcommitSlots() + slotsInUse[0]);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {7, 8, 9})
-    void testRestartedRouterLosesNoSlotForGood(long seed) {
-        FleetTrialScheduler scheduler = scheduler(seed);
-        Trial trial = new Trial(SITE, scheduler, seed);
-        TrialResult result =
-                trial.run(
+    void testRouterRestartLosesNoSlots(long seed) {
+        SimulatedFleet scheduler = scheduler(seed);
+        Simulation simulation = new Simulation(SITE, scheduler, seed);
+        SimulationResult result =
+                simulation.run(
                         20,
                         20,
                         at(
-                                FAULT_AT,
+                                FAULT_START_MILLIS,
                                 () -> {
-                                    trial.dropRouter(4);
+                                    simulation.removeRouter(4);
                                     scheduler.restart(4);
                                 }));
         assertThat(result.utilisation()).isGreaterThan(0.99);
         assertThat(result.gap()).isLessThan(1_000);
-        assertThat(result.overCommitted()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
+        assertThat(result.maxOvercommit()).isLessThanOrEqualTo(PARAMETERS.overcommitSlots());
     }
 
-    /** The most slots of one target that a router uses; nobody counts them once it is removed. */
-    private static int mostHeld(FleetTrialScheduler scheduler, int router) {
+    /**
+     * Returns the most slots of one target that a router uses. After its removal these are not
+     * counted as taken.
+     */
+    private static int maxSlotsInUse(SimulatedFleet scheduler, int router) {
         return SITE.targets().stream()
                 .mapToInt(
                         target ->
@@ -92,8 +96,8 @@
                 .orElse(0);
     }
 
-    private static FleetTrialScheduler scheduler(long seed) {
-        return new FleetTrialScheduler(SITE, TrialNetwork.SOUND, PARAMETERS, seed);
+    private static SimulatedFleet scheduler(long seed) {
+        return new SimulatedFleet(SITE, SimulatedNetwork.RELIABLE, PARAMETERS, seed);
     }
 
     private static LongConsumer at(long time, Runnable action) {
--- a/src/test/java/org/martenwell/schedule/LocalTrialScheduler.java
+++ b/src/test/java/org/martenwell/schedule/IsolatedRouterScheduler.java
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 
 /**
- * The baselines without any exchange between routers: each has a fixed share of the slots and is
- * either fair on its own or serves first come first.
+ * Baseline without communication between routers. Each router has a fixed share of the slots and
+ * serves either the least served organisation or the first request.
  */
-final class LocalTrialScheduler implements TrialScheduler {
+final class IsolatedRouterScheduler implements SimulatedScheduler {
 
     private final boolean fair;
     private final List<Map<String, Deque<WaitingRequest>>> queues = new ArrayList<>();
     private final List<Map<String, Double>> served = new ArrayList<>();
     private final List<Deque<String>> free = new ArrayList<>();
 
-    LocalTrialScheduler(TrialSite site, boolean fair) {
+    IsolatedRouterScheduler(SimulatedSite site, boolean fair) {
         this.fair = fair;
         for (int router = 0; router < site.routers(); router++) {
             queues.add(new TreeMap<>());
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void finished(TrialStart start, long now) {
+    public void finished(RequestStart start, long now) {
         free.get(start.router()).add(start.target());
     }
 
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public List<TrialStart> step(long now) {
-        List<TrialStart> starts = new ArrayList<>();
+    public List<RequestStart> step(long now) {
+        List<RequestStart> starts = new ArrayList<>();
         for (int router = 0; router < queues.size(); router++) {
             while (!free.get(router).isEmpty()) {
                 String next = fair ? leastServed(router) : firstCome(router);
@@ -59,7 +59,7 @@
                     break;
                 }
                 WaitingRequest request = queues.get(router).get(next).poll();
-                starts.add(new TrialStart(router, request, free.get(router).poll(), this));
+                starts.add(new RequestStart(router, request, free.get(router).poll(), this));
             }
         }
         return starts;
--- a/src/test/java/org/martenwell/schedule/FleetTrialScheduler.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -13,30 +13,36 @@
 import org.martenwell.member.KeeperAssignment;
 import org.martenwell.member.KeeperCandidate;
 
-/** The fleet's own objects, with messages that take time and may be lost, doubled or reordered. */
-final class FleetTrialScheduler implements TrialScheduler {
+/**
+ * Production scheduler of all routers, connected by a network that delays, loses, duplicates or
+ * reorders messages.
+ */
+final class SimulatedFleet implements SimulatedScheduler {
 
     private static final long RESEND_MILLIS = 1_000;
 
-    private final TrialSite site;
-    private final TrialNetwork network;
+    private final SimulatedSite site;
+    private final SimulatedNetwork network;
     private final Random random;
     private final PriorityQueue<Message> messages =
             new PriorityQueue<>(
-                    (one, two) ->
-                            one.at == two.at
-                                    ? Long.compare(one.order, two.order)
-                                    : Long.compare(one.at, two.at));
+                    (first, second) ->
+                            first.deliveryTime == second.deliveryTime
+                                    ? Long.compare(first.order, second.order)
+                                    : Long.compare(first.deliveryTime, second.deliveryTime));
     private final List<Node> nodes = new ArrayList<>();
     private final SchedulingParameters parameters;
-    private final Set<Integer> dead = new HashSet<>();
-    private final List<TrialStart> starts = new ArrayList<>();
-    private long order;
+    private final Set<Integer> stopped = new HashSet<>();
+    private final List<RequestStart> starts = new ArrayList<>();
+    private long nextOrder;
     private long incarnation = 1;
     private long now;
 
-    FleetTrialScheduler(
-            TrialSite site, TrialNetwork network, SchedulingParameters parameters, long seed) {
+    SimulatedFleet(
+            SimulatedSite site,
+            SimulatedNetwork network,
+            SchedulingParameters parameters,
+            long seed) {
         this.site = site;
         this.network = network;
         this.parameters = parameters;
@@ -47,12 +53,12 @@
         assign(Set.of());
     }
 
-    /** Assigns keepers among all routers that are not away. */
-    void assign(Set<Integer> away) {
+    /** Assigns coordinators among the routers that are not excluded. */
+    void assign(Set<Integer> excluded) {
         List<KeeperCandidate> candidates = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Node node : nodes) {
-            if (!away.contains(node.index)) {
+            if (!excluded.contains(node.index)) {
                 candidates.add(node.candidate());
                 names.add(node.name());
             }
@@ -60,20 +66,20 @@
         Map<String, KeeperReference> keepers =
                 KeeperAssignment.INSTANCE.assign(site.targets(), candidates);
         for (Node node : nodes) {
-            List<Target> kept = new ArrayList<>(site.targets());
-            kept.removeIf(each -> !keepers.get(each.name()).name().equals(node.name()));
-            node.keeper.assign(kept, names, now);
+            List<Target> coordinated = new ArrayList<>(site.targets());
+            coordinated.removeIf(target -> !keepers.get(target.name()).name().equals(node.name()));
+            node.keeper.assign(coordinated, names, now);
             node.slots.assign(site.targets(), keepers);
         }
     }
 
-    /** Ends a router's process. */
-    void kill(int index) {
-        dead.add(index);
-        assign(dead);
+    /** Stops a router. */
+    void stop(int index) {
+        stopped.add(index);
+        assign(stopped);
     }
 
-    /** Restarts a router without memory; what ran through it is gone. */
+    /** Restarts a router, which loses its state and its requests. */
     void restart(int index) {
         incarnation++;
         nodes.set(index, new Node(index));
@@ -94,7 +100,7 @@
 
     @Override
     public void arrived(int router, WaitingRequest request, long time) {
-        if (dead.contains(router)) {
+        if (stopped.contains(router)) {
             return;
         }
         RouterSlots slots = nodes.get(router).slots;
@@ -104,7 +110,7 @@
     }
 
     @Override
-    public void finished(TrialStart start, long time) {
+    public void finished(RequestStart start, long time) {
         nodes.get(start.router()).slots.finish((Slot) start.handle(), false);
     }
 
@@ -114,30 +120,30 @@
     }
 
     @Override
-    public List<TrialStart> step(long time) {
+    public List<RequestStart> step(long time) {
         now = time;
-        while (!messages.isEmpty() && messages.peek().at <= now) {
+        while (!messages.isEmpty() && messages.peek().deliveryTime <= now) {
             messages.poll().action.run();
         }
         for (Node node : nodes) {
-            if (!dead.contains(node.index)) {
+            if (!stopped.contains(node.index)) {
                 node.exchange();
             }
         }
-        if (now % network.countersMillis() == 0) {
-            nodes.forEach(Node::shareCounters);
+        if (now % network.counterIntervalMillis() == 0) {
+            nodes.forEach(Node::broadcastCounters);
         }
         if (now % RESEND_MILLIS == 0) {
             nodes.forEach(node -> node.keeper.maintain(now));
         }
-        List<TrialStart> started = List.copyOf(starts);
+        List<RequestStart> started = List.copyOf(starts);
         starts.clear();
         return started;
     }
 
     private void start(int router, Assignment assignment) {
         starts.add(
-                new TrialStart(
+                new RequestStart(
                         router,
                         assignment.request(),
                         assignment.slot().target().name(),
@@ -149,39 +155,41 @@
             action.accept(nodes.get(to));
             return;
         }
-        int copies = random.nextDouble() < network.lost() ? 0 : 1;
-        copies += random.nextDouble() < network.doubled() ? 1 : 0;
+        int copies = random.nextDouble() < network.lossRate() ? 0 : 1;
+        copies += random.nextDouble() < network.duplicationRate() ? 1 : 0;
         for (int copy = 0; copy < copies; copy++) {
             long jitter = network.jitterMillis() == 0 ? 0 : random.nextLong(network.jitterMillis());
-            order++;
+            nextOrder++;
             messages.add(
                     new Message(
                             now + network.delayMillis() + jitter,
-                            order,
+                            nextOrder,
                             () -> deliver(to, action)));
         }
     }
 
     private void deliver(int to, Consumer<Node> action) {
-        if (!dead.contains(to)) {
+        if (!stopped.contains(to)) {
             action.accept(nodes.get(to));
         }
     }
 
-    /** One router with its keeper. */
+    /** Router with its side of scheduling as a coordinator. */
     final class Node {
 
         final int index;
         final ServiceCounters counters;
         final Keeper keeper;
         final RouterSlots slots;
-        private final long life = incarnation;
+        private final long nodeIncarnation = incarnation;
 
         private Node(int index) {
             this.index = index;
-            counters = new ServiceCounters(name(), life);
-            keeper = new Keeper(name(), life, parameters, counters, GrantListener.NO_OP);
-            slots = new RouterSlots(name(), life, parameters, PrefixThenLeastLoaded.INSTANCE);
+            counters = new ServiceCounters(name(), nodeIncarnation);
+            keeper = new Keeper(name(), nodeIncarnation, parameters, counters, GrantListener.NO_OP);
+            slots =
+                    new RouterSlots(
+                            name(), nodeIncarnation, parameters, PrefixThenLeastLoaded.INSTANCE);
         }
 
         String name() {
@@ -189,7 +197,7 @@
         }
 
         private KeeperCandidate candidate() {
-            return new KeeperCandidate(name(), life, "domain" + index % 3);
+            return new KeeperCandidate(name(), nodeIncarnation, "domain" + index % 3);
         }
 
         private void exchange() {
@@ -200,22 +208,22 @@
             }
             for (Map.Entry<String, SlotGrants> entry : keeper.decide(now).entrySet()) {
                 int to = Integer.parseInt(entry.getKey().substring("router".length()));
-                send(index, to, node -> node.granted(entry.getValue()));
+                send(index, to, node -> node.applyGrants(entry.getValue()));
             }
-            if (network.grantsAtOnce()) {
-                share(counters.takeGrantChanges());
+            if (network.immediateGrantReports()) {
+                broadcast(counters.takeGrantChanges());
             }
         }
 
-        private void granted(SlotGrants grants) {
+        private void applyGrants(SlotGrants grants) {
             slots.receive(grants).forEach(assignment -> start(index, assignment));
         }
 
-        private void shareCounters() {
-            share(counters.takeChanges());
+        private void broadcastCounters() {
+            broadcast(counters.takeChanges());
         }
 
-        private void share(ServiceReport report) {
+        private void broadcast(ServiceReport report) {
             if (report.entries().isEmpty()) {
                 return;
             }
@@ -227,6 +235,5 @@
         }
     }
 
-    /** A message under way. */
-    private record Message(long at, long order, Runnable action) {}
+    private record Message(long deliveryTime, long order, Runnable action) {}
 }
--- a/src/test/java/org/martenwell/schedule/TrialSite.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedSite.java
@@ -8,22 +8,26 @@
 import org.martenwell.configuration.Target;
 
 /**
- * The site of a trial: targets, and organisations that each send to some of the routers.
+ * Site to simulate: targets, and organisations that each send to some of the routers.
  *
- * @param routers How many routers.
+ * @param routers The number of routers.
  * @param targets The targets.
- * @param spread The routers that each organisation sends to.
- * @param depth How many requests each organisation keeps waiting in all.
+ * @param routersByOrganisation The routers that each organisation sends to.
+ * @param queueDepth The number of requests that each organisation keeps waiting.
  */
-record TrialSite(int routers, List<Target> targets, Map<String, List<Integer>> spread, int depth) {
+record SimulatedSite(
+        int routers,
+        List<Target> targets,
+        Map<String, List<Integer>> routersByOrganisation,
+        int queueDepth) {
 
     static final Pool POOL = Pool.ofModel("model");
 
     /**
-     * The site of the design page: 8 targets of 16 slots, six organisations on 9 routers, unevenly.
+     * Returns a site with 8 targets of 16 slots and 6 organisations spread unevenly over 9 routers.
      */
-    static TrialSite coldChain() {
-        return new TrialSite(
+    static SimulatedSite coldChain() {
+        return new SimulatedSite(
                 9,
                 targets(8, 16),
                 Map.of(
@@ -36,9 +40,11 @@
                 40);
     }
 
-    /** The food-aid site: 6 targets, five organisations on 7 routers, unevenly. */
-    static TrialSite foodAid() {
-        return new TrialSite(
+    /**
+     * Returns a site with 6 targets of 16 slots and 5 organisations spread unevenly over 7 routers.
+     */
+    static SimulatedSite foodAid() {
+        return new SimulatedSite(
                 7,
                 targets(6, 16),
                 Map.of(
