--- a/src/main/java/org/martenwell/schedule/CoordinatedTarget.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatedTarget.java
@@ -68,10 +68,10 @@
     /**
      * Sets whether the target accepts new requests.
      *
-     * @param takesWork {@code false} if the target is draining or unavailable.
+     * @param accepting {@code false} if the target is draining or unavailable.
      */
-    void open(boolean takesWork) {
-        acceptsRequests = takesWork;
+    void setAcceptsRequests(boolean accepting) {
+        acceptsRequests = accepting;
     }
 
     /**
@@ -112,10 +112,10 @@
      * @return {@code true} if all members have reported or the deadline has passed.
      */
     boolean allocationsKnown(Set<String> members, long now) {
-        return now >= reportDeadline || members.stream().allMatch(this::known);
+        return now >= reportDeadline || members.stream().allMatch(this::hasReported);
     }
 
-    private boolean known(String router) {
+    private boolean hasReported(String router) {
         RouterAllocation allocation = allocations.get(router);
         return allocation != null && allocation.reported();
     }
--- a/src/main/java/org/martenwell/schedule/CoordinatorReports.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReports.java
@@ -31,7 +31,7 @@
     private Map<String, KeeperReference> keepers = Map.of();
 
     /** Targets by pool. */
-    private Map<Pool, List<Target>> pools = Map.of();
+    private Map<Pool, List<Target>> targetsByPool = Map.of();
 
     /**
      * Sequence number of the last report to any coordinator. One sequence for all keeps it
@@ -69,7 +69,7 @@
      */
     void assign(Map<String, KeeperReference> assignment, Map<Pool, List<Target>> targets) {
         keepers = Map.copyOf(assignment);
-        pools = targets;
+        targetsByPool = targets;
         reportStates.keySet().retainAll(keepers.values());
         for (KeeperReference keeper : keepers.values()) {
             reportStates.computeIfAbsent(keeper, key -> new ReportState()).requireComplete();
@@ -106,7 +106,7 @@
      * @param key The queue.
      */
     void queueChanged(QueueKey key) {
-        for (Target target : pools.getOrDefault(key.pool(), List.of())) {
+        for (Target target : targetsByPool.getOrDefault(key.pool(), List.of())) {
             reportState(target.name()).ifPresent(reportState -> reportState.queueChanged(key));
         }
     }
@@ -250,7 +250,7 @@
     }
 
     private boolean coordinatesPool(KeeperReference keeper, Pool pool) {
-        return pools.getOrDefault(pool, List.of()).stream()
+        return targetsByPool.getOrDefault(pool, List.of()).stream()
                 .anyMatch(target -> keeper.equals(keepers.get(target.name())));
     }
 }
--- a/src/main/java/org/martenwell/schedule/Keeper.java
+++ b/src/main/java/org/martenwell/schedule/Keeper.java
@@ -48,8 +48,7 @@
     private final Map<String, Long> lastBacklogged = new HashMap<>();
 
     /**
-     * Routers that owe a complete report because this router has become the coordinator of a
-     * target.
+     * Routers to ask for a complete report because this router became the coordinator of a target.
      */
     private final Set<String> resyncRequired = new HashSet<>();
 
@@ -148,12 +147,12 @@
      * not coordinate.
      *
      * @param target The target's name.
-     * @param takesWork {@code false} if the target is draining or unavailable.
+     * @param accepting {@code false} if the target is draining or unavailable.
      */
-    public void open(String target, boolean takesWork) {
+    public void open(String target, boolean accepting) {
         CoordinatedTarget coordinated = targets.get(target);
         if (coordinated != null) {
-            coordinated.open(takesWork);
+            coordinated.setAcceptsRequests(accepting);
         }
     }
 
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -30,7 +30,7 @@
     private final Set<String> unavailableTargets = new HashSet<>();
 
     /** Targets by pool. */
-    private Map<Pool, List<Target>> pools = Map.of();
+    private Map<Pool, List<Target>> targetsByPool = Map.of();
 
     /**
      * Creates an instance without targets and slots.
@@ -55,15 +55,15 @@
      * @param keepers The coordinators by target name.
      */
     public void assign(List<Target> targets, Map<String, KeeperReference> keepers) {
-        Map<Pool, List<Target>> targetsByPool = new HashMap<>();
+        Map<Pool, List<Target>> updated = new HashMap<>();
         for (Target target : targets) {
             for (Pool pool : target.pools()) {
-                targetsByPool.computeIfAbsent(pool, key -> new ArrayList<>()).add(target);
+                updated.computeIfAbsent(pool, key -> new ArrayList<>()).add(target);
             }
         }
-        pools = targetsByPool;
+        targetsByPool = updated;
         slots.assign(targets, keepers);
-        reports.assign(keepers, targetsByPool);
+        reports.assign(keepers, updated);
     }
 
     /**
@@ -81,10 +81,10 @@
      * released.
      *
      * @param target The target's name.
-     * @param takesWork {@code false} if the target is draining or unavailable.
+     * @param accepting {@code false} if the target is draining or unavailable.
      */
-    public void open(String target, boolean takesWork) {
-        if (takesWork) {
+    public void open(String target, boolean accepting) {
+        if (accepting) {
             unavailableTargets.remove(target);
             return;
         }
@@ -99,7 +99,7 @@
      * @return The assignment, or empty if no lent slot is idle and the request has to wait.
      */
     public Optional<Assignment> takeLent(WaitingRequest request) {
-        List<Target> pool = pools.getOrDefault(request.pool(), List.of());
+        List<Target> pool = targetsByPool.getOrDefault(request.pool(), List.of());
         List<Target> usable = pool.stream().filter(slots::hasIdleLent).toList();
         return chooser.choose(request, pool, usable, this)
                 .flatMap(target -> slots.find(target.name()))
@@ -297,7 +297,7 @@
      * @return The assignment.
      */
     private Assignment assign(QueueKey key, TargetSlots targetSlots, String slotClass) {
-        List<Target> pool = pools.getOrDefault(key.pool(), List.of());
+        List<Target> pool = targetsByPool.getOrDefault(key.pool(), List.of());
         Target target = targetSlots.target();
         WaitingRequest request =
                 queues.take(key, candidate -> chooser.prefers(candidate, pool, target));
