--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -14,7 +14,6 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.schedule.Assignment;
-import org.martenwell.schedule.Keeper;
 import org.martenwell.schedule.KeeperReference;
 import org.martenwell.schedule.PrefixThenLeastLoaded;
 import org.martenwell.schedule.RouterSlots;
@@ -22,6 +21,7 @@
 import org.martenwell.schedule.ServiceCounters;
 import org.martenwell.schedule.ServiceReport;
 import org.martenwell.schedule.Slot;
+import org.martenwell.schedule.SlotCoordinator;
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 import org.martenwell.schedule.WaitingRequest;
@@ -45,7 +45,7 @@
     private final ServiceCounters counters;
 
     /** Hands out the slots of the targets kept here. */
-    private final Keeper keeper;
+    private final SlotCoordinator keeper;
 
     /** The waiting requests and slots of this router. */
     private final RouterSlots slots;
@@ -78,7 +78,7 @@
         this.name = name;
         this.sender = sender;
         counters = new ServiceCounters(name, incarnation);
-        keeper = new Keeper(name, incarnation, parameters, counters, GrantLog.INSTANCE);
+        keeper = new SlotCoordinator(name, incarnation, parameters, counters, GrantLog.INSTANCE);
         slots = new RouterSlots(name, incarnation, parameters, PrefixThenLeastLoaded.INSTANCE);
     }
 
@@ -258,7 +258,7 @@
      *
      * @return The keeper.
      */
-    public Keeper keeper() {
+    public SlotCoordinator keeper() {
         return keeper;
     }
 
--- a/src/main/java/org/martenwell/schedule/Keeper.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -17,7 +17,7 @@
  * slot goes to the backlogged organisation with the lowest rank; while none wait, free slots are
  * lent to routers ahead of demand.
  */
-public final class Keeper {
+public final class SlotCoordinator {
 
     private final String name;
 
@@ -72,7 +72,7 @@
      * @param counters The service counters, shared with the router's side of scheduling.
      * @param listener Notified of each slot granted to an organisation.
      */
-    public Keeper(
+    public SlotCoordinator(
             String name,
             long incarnation,
             SchedulingParameters parameters,
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -30,11 +30,11 @@
 import org.martenwell.schedule.Demand;
 import org.martenwell.schedule.GrantListener;
 import org.martenwell.schedule.Holding;
-import org.martenwell.schedule.Keeper;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.schedule.ServiceCounters;
 import org.martenwell.schedule.ServiceEntry;
 import org.martenwell.schedule.ServiceReport;
+import org.martenwell.schedule.SlotCoordinator;
 import org.martenwell.schedule.SlotGrant;
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
@@ -152,7 +152,8 @@
     private void decisions(int kept, int backlogged) {
         SchedulingParameters parameters = SchedulingParameters.DEFAULTS;
         ServiceCounters counters = new ServiceCounters("router-0", 1);
-        Keeper keeper = new Keeper("router-0", 1, parameters, counters, GrantListener.NO_OP);
+        SlotCoordinator keeper =
+                new SlotCoordinator("router-0", 1, parameters, counters, GrantListener.NO_OP);
         Set<String> members = new HashSet<>(Set.of("router-0", "router-1"));
         List<Target> targets = targets(kept, 1);
         keeper.assign(targets, members, 0);
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -179,14 +179,16 @@
 
         final int index;
         final ServiceCounters counters;
-        final Keeper keeper;
+        final SlotCoordinator keeper;
         final RouterSlots slots;
         private final long nodeIncarnation = incarnation;
 
         private Node(int index) {
             this.index = index;
             counters = new ServiceCounters(name(), nodeIncarnation);
-            keeper = new Keeper(name(), nodeIncarnation, parameters, counters, GrantListener.NO_OP);
+            keeper =
+                    new SlotCoordinator(
+                            name(), nodeIncarnation, parameters, counters, GrantListener.NO_OP);
             slots =
                     new RouterSlots(
                             name(), nodeIncarnation, parameters, PrefixThenLeastLoaded.INSTANCE);
