--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -64,7 +64,7 @@
 import org.martenwell.router.RouterTimes;
 import org.martenwell.router.TargetMonitor;
 import org.martenwell.router.Ticker;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.schedule.ServiceReport;
 import org.martenwell.schedule.SlotGrants;
@@ -507,7 +507,7 @@
             return;
         }
         assigned = input;
-        Map<String, KeeperReference> keepers =
+        Map<String, CoordinatorReference> keepers =
                 KeeperAssignment.INSTANCE.assign(targets, candidates);
         scheduler.assign(targets, keepers, membership.names());
         monitor.targets(targets);
--- a/src/main/java/org/martenwell/member/KeeperAssignment.java
+++ b/src/main/java/org/martenwell/member/KeeperAssignment.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.martenwell.configuration.Target;
 import org.martenwell.hash.RendezvousHash;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 
 /**
  * Assigns a keeper to each target by rendezvous hashing, preferring routers of the target's failure
@@ -25,9 +25,9 @@
      * @param candidates The routers that may keep targets.
      * @return The keeper of each target, by target; empty if there are no candidates.
      */
-    public Map<String, KeeperReference> assign(
+    public Map<String, CoordinatorReference> assign(
             Collection<Target> targets, Collection<KeeperCandidate> candidates) {
-        Map<String, KeeperReference> keepers = new LinkedHashMap<>();
+        Map<String, CoordinatorReference> keepers = new LinkedHashMap<>();
         List<KeeperCandidate> all = List.copyOf(candidates);
         for (Target target : targets) {
             List<KeeperCandidate> near = new ArrayList<>(all);
@@ -39,7 +39,8 @@
                             1,
                             each -> RendezvousHash.score(each.name(), target.name()))) {
                 keepers.put(
-                        target.name(), new KeeperReference(winner.name(), winner.incarnation()));
+                        target.name(),
+                        new CoordinatorReference(winner.name(), winner.incarnation()));
             }
         }
         return keepers;
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -14,7 +14,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.schedule.Assignment;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 import org.martenwell.schedule.PrefixThenLeastLoaded;
 import org.martenwell.schedule.RouterSlots;
 import org.martenwell.schedule.SchedulingParameters;
@@ -100,7 +100,7 @@
      * @param members The names of all members, this router included.
      */
     public void assign(
-            List<Target> targets, Map<String, KeeperReference> keepers, Set<String> members) {
+            List<Target> targets, Map<String, CoordinatorReference> keepers, Set<String> members) {
         List<Target> kept =
                 targets.stream()
                         .filter(target -> keepers.containsKey(target.name()))
@@ -277,7 +277,8 @@
         boolean again = true;
         for (int round = 0; again && round < MAX_ROUNDS; round++) {
             again = false;
-            for (Map.Entry<KeeperReference, SlotReport> entry : slots.takeReports(now).entrySet()) {
+            for (Map.Entry<CoordinatorReference, SlotReport> entry :
+                    slots.takeReports(now).entrySet()) {
                 if (entry.getKey().name().equals(name)) {
                     keeper.receive(entry.getValue(), now);
                 } else {
--- a/src/main/java/org/martenwell/schedule/KeeperReference.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReference.java
@@ -6,4 +6,4 @@
  * @param name The name of the coordinating router.
  * @param incarnation The incarnation of the coordinating router.
  */
-public record KeeperReference(String name, long incarnation) {}
+public record CoordinatorReference(String name, long incarnation) {}
--- a/src/main/java/org/martenwell/schedule/CoordinatorReports.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReports.java
@@ -25,10 +25,10 @@
     private final HeldSlots slots;
 
     /** State of the reports to each coordinator. */
-    private final Map<KeeperReference, ReportState> reportStates = new LinkedHashMap<>();
+    private final Map<CoordinatorReference, ReportState> reportStates = new LinkedHashMap<>();
 
     /** Coordinators by target name. */
-    private Map<String, KeeperReference> keepers = Map.of();
+    private Map<String, CoordinatorReference> keepers = Map.of();
 
     /** Targets by pool. */
     private Map<Pool, List<Target>> targetsByPool = Map.of();
@@ -67,11 +67,11 @@
      * @param assignment The coordinators by target name.
      * @param targets The targets by pool.
      */
-    void assign(Map<String, KeeperReference> assignment, Map<Pool, List<Target>> targets) {
+    void assign(Map<String, CoordinatorReference> assignment, Map<Pool, List<Target>> targets) {
         keepers = Map.copyOf(assignment);
         targetsByPool = targets;
         reportStates.keySet().retainAll(keepers.values());
-        for (KeeperReference keeper : keepers.values()) {
+        for (CoordinatorReference keeper : keepers.values()) {
             reportStates.computeIfAbsent(keeper, key -> new ReportState()).requireComplete();
         }
     }
@@ -81,7 +81,7 @@
      *
      * @param keeper The coordinator.
      */
-    void requireComplete(KeeperReference keeper) {
+    void requireComplete(CoordinatorReference keeper) {
         if (reportStates.containsKey(keeper)) {
             reportStates.get(keeper).requireComplete();
         }
@@ -93,7 +93,7 @@
      * @param keeper The coordinator's name.
      */
     void requireComplete(String keeper) {
-        for (Map.Entry<KeeperReference, ReportState> entry : reportStates.entrySet()) {
+        for (Map.Entry<CoordinatorReference, ReportState> entry : reportStates.entrySet()) {
             if (entry.getKey().name().equals(keeper)) {
                 entry.getValue().requireComplete();
             }
@@ -139,10 +139,10 @@
      * @param now The current time in milliseconds.
      * @return The reports by coordinator; coordinators without changes are absent.
      */
-    Map<KeeperReference, SlotReport> take(long now) {
-        Map<KeeperReference, SlotReport> reports = new LinkedHashMap<>();
-        for (Map.Entry<KeeperReference, ReportState> entry : reportStates.entrySet()) {
-            KeeperReference keeper = entry.getKey();
+    Map<CoordinatorReference, SlotReport> take(long now) {
+        Map<CoordinatorReference, SlotReport> reports = new LinkedHashMap<>();
+        for (Map.Entry<CoordinatorReference, ReportState> entry : reportStates.entrySet()) {
+            CoordinatorReference keeper = entry.getKey();
             ReportState reportState = entry.getValue();
             if (reportState.completeReportDue(now, parameters.completeReportIntervalMillis())) {
                 reports.put(keeper, buildCompleteReport(keeper, reportState, now));
@@ -166,7 +166,7 @@
      * @return The report.
      */
     private SlotReport buildCompleteReport(
-            KeeperReference keeper, ReportState reportState, long now) {
+            CoordinatorReference keeper, ReportState reportState, long now) {
         reportState.recordCompleteReport(now);
         List<Demand> demands = new ArrayList<>();
         for (QueueKey key : queues.keys()) {
@@ -196,7 +196,7 @@
      * @return The report, or empty if nothing changed.
      */
     private Optional<SlotReport> changes(
-            KeeperReference keeper, ReportState reportState, long now) {
+            CoordinatorReference keeper, ReportState reportState, long now) {
         List<Demand> demands = new ArrayList<>();
         for (QueueKey key : reportState.takeChangedQueues()) {
             QueueState current = queues.demand(key, parameters.maxReportedWaiting());
@@ -232,7 +232,7 @@
      * @return The report.
      */
     private SlotReport report(
-            KeeperReference keeper,
+            CoordinatorReference keeper,
             boolean complete,
             List<Demand> demands,
             List<Holding> holdings,
@@ -249,7 +249,7 @@
                 failures);
     }
 
-    private boolean coordinatesPool(KeeperReference keeper, Pool pool) {
+    private boolean coordinatesPool(CoordinatorReference keeper, Pool pool) {
         return targetsByPool.getOrDefault(pool, List.of()).stream()
                 .anyMatch(target -> keeper.equals(keepers.get(target.name())));
     }
--- a/src/main/java/org/martenwell/schedule/HeldSlots.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlots.java
@@ -32,10 +32,10 @@
      * @param targets All targets.
      * @param keepers The coordinators by target name.
      */
-    void assign(List<Target> targets, Map<String, KeeperReference> keepers) {
+    void assign(List<Target> targets, Map<String, CoordinatorReference> keepers) {
         Map<String, TargetSlots> assigned = new TreeMap<>();
         for (Target target : targets) {
-            KeeperReference keeper = keepers.get(target.name());
+            CoordinatorReference keeper = keepers.get(target.name());
             TargetSlots targetSlots = slotsByTarget.get(target.name());
             if (keeper != null) {
                 boolean unchanged = targetSlots != null && targetSlots.keeper().equals(keeper);
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -54,7 +54,7 @@
      * @param targets All targets.
      * @param keepers The coordinators by target name.
      */
-    public void assign(List<Target> targets, Map<String, KeeperReference> keepers) {
+    public void assign(List<Target> targets, Map<String, CoordinatorReference> keepers) {
         Map<Pool, List<Target>> updated = new HashMap<>();
         for (Target target : targets) {
             for (Pool pool : target.pools()) {
@@ -147,7 +147,8 @@
      */
     public List<Assignment> receive(SlotGrants grants) {
         List<Assignment> assignments = new ArrayList<>();
-        KeeperReference keeper = new KeeperReference(grants.keeper(), grants.incarnation());
+        CoordinatorReference keeper =
+                new CoordinatorReference(grants.keeper(), grants.incarnation());
         if (grants.completeWanted()) {
             reports.requireComplete(keeper);
         }
@@ -187,7 +188,7 @@
      * @param now The current time in milliseconds.
      * @return The reports by coordinator; coordinators without changes are absent.
      */
-    public Map<KeeperReference, SlotReport> takeReports(long now) {
+    public Map<CoordinatorReference, SlotReport> takeReports(long now) {
         return reports.take(now);
     }
 
--- a/src/main/java/org/martenwell/schedule/TargetSlots.java
+++ b/src/main/java/org/martenwell/schedule/TargetSlots.java
@@ -9,7 +9,7 @@
 
     private final Target target;
 
-    private final KeeperReference keeper;
+    private final CoordinatorReference keeper;
 
     /** Totals by slot class. */
     private final Map<String, HeldSlotTotals> classes = new HashMap<>();
@@ -28,7 +28,7 @@
      * @param target The target.
      * @param keeper The coordinator that grants the slots.
      */
-    TargetSlots(Target target, KeeperReference keeper) {
+    TargetSlots(Target target, CoordinatorReference keeper) {
         this.target = target;
         this.keeper = keeper;
     }
@@ -39,7 +39,7 @@
     }
 
     /** {@return the coordinator that grants the slots} */
-    KeeperReference keeper() {
+    CoordinatorReference keeper() {
         return keeper;
     }
 
--- a/src/test/java/org/martenwell/member/KeeperAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/KeeperAssignmentTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.configuration.PoolKind;
 import org.martenwell.configuration.Target;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 
 class KeeperAssignmentTest {
 
     @Test
     void testKeeperIsOfTheTargetsFailureDomain() {
-        Map<String, KeeperReference> keepers = assign(9);
+        Map<String, CoordinatorReference> keepers = assign(9);
         for (Target target : targets()) {
             int router = Integer.parseInt(keepers.get(target.name()).name().substring(1));
             assertThat("domain" + router % 3).isEqualTo(target.failureDomain());
@@ -39,10 +39,10 @@
     void testOnlyTargetsOfTheLeaverChangeTheirKeeper(
             @ForAll @IntRange(min = 6, max = 40) int routers,
             @ForAll @IntRange(max = 5) int leaver) {
-        Map<String, KeeperReference> before = assign(routers);
+        Map<String, CoordinatorReference> before = assign(routers);
         List<KeeperCandidate> rest = candidates(routers);
         rest.remove(leaver);
-        Map<String, KeeperReference> after = KeeperAssignment.INSTANCE.assign(targets(), rest);
+        Map<String, CoordinatorReference> after = KeeperAssignment.INSTANCE.assign(targets(), rest);
         before.forEach(
                 (target, keeper) -> {
                     if (!keeper.name().equals("r" + leaver)) {
@@ -51,7 +51,7 @@
                 });
     }
 
-    private static Map<String, KeeperReference> assign(int routers) {
+    private static Map<String, CoordinatorReference> assign(int routers) {
         return KeeperAssignment.INSTANCE.assign(targets(), candidates(routers));
     }
 
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -63,7 +63,7 @@
                 names.add(node.name());
             }
         }
-        Map<String, KeeperReference> keepers =
+        Map<String, CoordinatorReference> keepers =
                 KeeperAssignment.INSTANCE.assign(site.targets(), candidates);
         for (Node node : nodes) {
             List<Target> coordinated = new ArrayList<>(site.targets());
@@ -203,7 +203,7 @@
         }
 
         private void exchange() {
-            for (Map.Entry<KeeperReference, SlotReport> entry :
+            for (Map.Entry<CoordinatorReference, SlotReport> entry :
                     new LinkedHashMap<>(slots.takeReports(now)).entrySet()) {
                 int to = Integer.parseInt(entry.getKey().name().substring("router".length()));
                 send(index, to, node -> node.keeper.receive(entry.getValue(), now));
