--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -26,8 +26,8 @@
 import org.martenwell.configuration.ActiveConfiguration;
 import org.martenwell.configuration.Target;
 import org.martenwell.http.HttpCalls;
+import org.martenwell.member.CoordinatorAssignment;
 import org.martenwell.member.Heartbeat;
-import org.martenwell.member.KeeperAssignment;
 import org.martenwell.member.KeeperCandidate;
 import org.martenwell.member.Member;
 import org.martenwell.member.Membership;
@@ -508,7 +508,7 @@
         }
         assigned = input;
         Map<String, CoordinatorReference> keepers =
-                KeeperAssignment.INSTANCE.assign(targets, candidates);
+                CoordinatorAssignment.INSTANCE.assign(targets, candidates);
         scheduler.assign(targets, keepers, membership.names());
         monitor.targets(targets);
     }
--- a/src/main/java/org/martenwell/member/KeeperAssignment.java
+++ b/src/main/java/org/martenwell/member/CoordinatorAssignment.java
@@ -13,7 +13,7 @@
  * Assigns a keeper to each target by rendezvous hashing, preferring routers of the target's failure
  * domain. When a router comes or goes, only targets that it wins or held change their keeper.
  */
-public enum KeeperAssignment {
+public enum CoordinatorAssignment {
 
     /** The only instance. */
     INSTANCE;
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -21,8 +21,8 @@
 import org.martenwell.configuration.PoolKind;
 import org.martenwell.configuration.Target;
 import org.martenwell.json.Json;
+import org.martenwell.member.CoordinatorAssignment;
 import org.martenwell.member.Heartbeat;
-import org.martenwell.member.KeeperAssignment;
 import org.martenwell.member.KeeperCandidate;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.peer.MessageReader;
@@ -213,7 +213,7 @@
                 "keepers assigned",
                 members + " members, " + targetCount + " targets",
                 2,
-                () -> KeeperAssignment.INSTANCE.assign(targets, candidates));
+                () -> CoordinatorAssignment.INSTANCE.assign(targets, candidates));
     }
 
     private static ServiceReport serviceReport(int organisations, long sequence) {
--- a/src/test/java/org/martenwell/member/KeeperAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
@@ -13,7 +13,7 @@
 import org.martenwell.configuration.Target;
 import org.martenwell.schedule.CoordinatorReference;
 
-class KeeperAssignmentTest {
+class CoordinatorAssignmentTest {
 
     @Test
     void testKeeperIsOfTheTargetsFailureDomain() {
@@ -27,12 +27,12 @@
     @Test
     void testOtherDomainsKeepTheTargetsOfAnEmptyOne() {
         List<KeeperCandidate> one = List.of(new KeeperCandidate("r0", 1, "domain0"));
-        assertThat(KeeperAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
+        assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
     }
 
     @Test
     void testNobodyKeepsWithoutCandidates() {
-        assertThat(KeeperAssignment.INSTANCE.assign(targets(), List.of())).isEmpty();
+        assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), List.of())).isEmpty();
     }
 
     @Property(tries = 30, seed = "1")
@@ -42,7 +42,8 @@
         Map<String, CoordinatorReference> before = assign(routers);
         List<KeeperCandidate> rest = candidates(routers);
         rest.remove(leaver);
-        Map<String, CoordinatorReference> after = KeeperAssignment.INSTANCE.assign(targets(), rest);
+        Map<String, CoordinatorReference> after =
+                CoordinatorAssignment.INSTANCE.assign(targets(), rest);
         before.forEach(
                 (target, keeper) -> {
                     if (!keeper.name().equals("r" + leaver)) {
@@ -52,7 +53,7 @@
     }
 
     private static Map<String, CoordinatorReference> assign(int routers) {
-        return KeeperAssignment.INSTANCE.assign(targets(), candidates(routers));
+        return CoordinatorAssignment.INSTANCE.assign(targets(), candidates(routers));
     }
 
     private static List<KeeperCandidate> candidates(int routers) {
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.martenwell.configuration.Target;
-import org.martenwell.member.KeeperAssignment;
+import org.martenwell.member.CoordinatorAssignment;
 import org.martenwell.member.KeeperCandidate;
 
 /**
@@ -64,7 +64,7 @@
             }
         }
         Map<String, CoordinatorReference> keepers =
-                KeeperAssignment.INSTANCE.assign(site.targets(), candidates);
+                CoordinatorAssignment.INSTANCE.assign(site.targets(), candidates);
         for (Node node : nodes) {
             List<Target> coordinated = new ArrayList<>(site.targets());
             coordinated.removeIf(target -> !keepers.get(target.name()).name().equals(node.name()));
