--- a/src/main/java/org/martenwell/daemon/AssignmentInput.java
+++ b/src/main/java/org/martenwell/daemon/AssignmentInput.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Set;
 import org.martenwell.configuration.Target;
-import org.martenwell.member.KeeperCandidate;
+import org.martenwell.member.CoordinatorCandidate;
 
 /**
  * What the keepers of targets are assigned from.
@@ -13,4 +13,4 @@
  * @param members The names of all members.
  */
 record AssignmentInput(
-        List<Target> targets, List<KeeperCandidate> candidates, Set<String> members) {}
+        List<Target> targets, List<CoordinatorCandidate> candidates, Set<String> members) {}
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -27,8 +27,8 @@
 import org.martenwell.configuration.Target;
 import org.martenwell.http.HttpCalls;
 import org.martenwell.member.CoordinatorAssignment;
+import org.martenwell.member.CoordinatorCandidate;
 import org.martenwell.member.Heartbeat;
-import org.martenwell.member.KeeperCandidate;
 import org.martenwell.member.Member;
 import org.martenwell.member.Membership;
 import org.martenwell.member.MembershipChange;
@@ -489,16 +489,17 @@
             return;
         }
         List<Target> targets = store.active().get().configuration().targets();
-        List<KeeperCandidate> candidates = new ArrayList<>();
+        List<CoordinatorCandidate> candidates = new ArrayList<>();
         if (ready()) {
             candidates.add(
-                    new KeeperCandidate(settings.name(), incarnation, settings.failureDomain()));
+                    new CoordinatorCandidate(
+                            settings.name(), incarnation, settings.failureDomain()));
         }
         for (Member member : membership.others().values()) {
             Heartbeat heartbeat = member.heartbeat();
             if (heartbeat.ready()) {
                 candidates.add(
-                        new KeeperCandidate(
+                        new CoordinatorCandidate(
                                 member.name(), heartbeat.incarnation(), heartbeat.failureDomain()));
             }
         }
--- a/src/main/java/org/martenwell/member/CoordinatorAssignment.java
+++ b/src/main/java/org/martenwell/member/CoordinatorAssignment.java
@@ -26,14 +26,14 @@
      * @return The keeper of each target, by target; empty if there are no candidates.
      */
     public Map<String, CoordinatorReference> assign(
-            Collection<Target> targets, Collection<KeeperCandidate> candidates) {
+            Collection<Target> targets, Collection<CoordinatorCandidate> candidates) {
         Map<String, CoordinatorReference> keepers = new LinkedHashMap<>();
-        List<KeeperCandidate> all = List.copyOf(candidates);
+        List<CoordinatorCandidate> all = List.copyOf(candidates);
         for (Target target : targets) {
-            List<KeeperCandidate> near = new ArrayList<>(all);
+            List<CoordinatorCandidate> near = new ArrayList<>(all);
             near.removeIf(each -> !each.failureDomain().equals(target.failureDomain()));
-            List<KeeperCandidate> preferred = near.isEmpty() ? all : near;
-            for (KeeperCandidate winner :
+            List<CoordinatorCandidate> preferred = near.isEmpty() ? all : near;
+            for (CoordinatorCandidate winner :
                     RendezvousHash.best(
                             preferred,
                             1,
--- a/src/main/java/org/martenwell/member/KeeperCandidate.java
+++ b/src/main/java/org/martenwell/member/CoordinatorCandidate.java
@@ -7,4 +7,4 @@
  * @param incarnation The router's incarnation.
  * @param failureDomain The router's failure domain.
  */
-public record KeeperCandidate(String name, long incarnation, String failureDomain) {}
+public record CoordinatorCandidate(String name, long incarnation, String failureDomain) {}
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -22,8 +22,8 @@
 import org.martenwell.configuration.Target;
 import org.martenwell.json.Json;
 import org.martenwell.member.CoordinatorAssignment;
+import org.martenwell.member.CoordinatorCandidate;
 import org.martenwell.member.Heartbeat;
-import org.martenwell.member.KeeperCandidate;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.peer.MessageReader;
 import org.martenwell.peer.MessageWriter;
@@ -204,9 +204,12 @@
     }
 
     private void assignments(int members, int targetCount) {
-        List<KeeperCandidate> candidates =
+        List<CoordinatorCandidate> candidates =
                 IntStream.range(0, members)
-                        .mapToObj(index -> new KeeperCandidate("router-" + index, 1, domain(index)))
+                        .mapToObj(
+                                index ->
+                                        new CoordinatorCandidate(
+                                                "router-" + index, 1, domain(index)))
                         .toList();
         List<Target> targets = targets(targetCount, 33);
         time(
--- a/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void testOtherDomainsKeepTheTargetsOfAnEmptyOne() {
-        List<KeeperCandidate> one = List.of(new KeeperCandidate("r0", 1, "domain0"));
+        List<CoordinatorCandidate> one = List.of(new CoordinatorCandidate("r0", 1, "domain0"));
         assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
     }
 
@@ -40,7 +40,7 @@
             @ForAll @IntRange(min = 6, max = 40) int routers,
             @ForAll @IntRange(max = 5) int leaver) {
         Map<String, CoordinatorReference> before = assign(routers);
-        List<KeeperCandidate> rest = candidates(routers);
+        List<CoordinatorCandidate> rest = candidates(routers);
         rest.remove(leaver);
         Map<String, CoordinatorReference> after =
                 CoordinatorAssignment.INSTANCE.assign(targets(), rest);
@@ -56,10 +56,10 @@
         return CoordinatorAssignment.INSTANCE.assign(targets(), candidates(routers));
     }
 
-    private static List<KeeperCandidate> candidates(int routers) {
-        List<KeeperCandidate> candidates = new ArrayList<>();
+    private static List<CoordinatorCandidate> candidates(int routers) {
+        List<CoordinatorCandidate> candidates = new ArrayList<>();
         for (int index = 0; index < routers; index++) {
-            candidates.add(new KeeperCandidate("r" + index, 1, "domain" + index % 3));
+            candidates.add(new CoordinatorCandidate("r" + index, 1, "domain" + index % 3));
         }
         return candidates;
     }
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.martenwell.configuration.Target;
 import org.martenwell.member.CoordinatorAssignment;
-import org.martenwell.member.KeeperCandidate;
+import org.martenwell.member.CoordinatorCandidate;
 
 /**
  * Production scheduler of all routers, connected by a network that delays, loses, duplicates or
@@ -55,7 +55,7 @@
 
     /** Assigns coordinators among the routers that are not excluded. */
     void assign(Set<Integer> excluded) {
-        List<KeeperCandidate> candidates = new ArrayList<>();
+        List<CoordinatorCandidate> candidates = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Node node : nodes) {
             if (!excluded.contains(node.index)) {
@@ -198,8 +198,8 @@
             return "router" + index;
         }
 
-        private KeeperCandidate candidate() {
-            return new KeeperCandidate(name(), nodeIncarnation, "domain" + index % 3);
+        private CoordinatorCandidate candidate() {
+            return new CoordinatorCandidate(name(), nodeIncarnation, "domain" + index % 3);
         }
 
         private void exchange() {
