--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -126,7 +126,7 @@
      * @throws IOException Never for a buffer in memory.
      */
     static void write(SlotGrants message, FieldWriter writer) throws IOException {
-        writer.name(message.keeper());
+        writer.name(message.coordinator());
         writer.number(message.incarnation());
         writer.number(message.routerIncarnation());
         writer.flag(message.completeWanted());
@@ -148,12 +148,12 @@
      * @throws IOException If it ends early.
      */
     static SlotGrants readSlotGrants(FieldReader reader) throws IOException {
-        String keeper = reader.name();
+        String coordinator = reader.name();
         long incarnation = reader.number();
         long routerIncarnation = reader.number();
         boolean completeWanted = reader.flag();
         List<SlotGrant> grants = reader.list(ScheduleForms::readSlotGrant);
-        return new SlotGrants(keeper, incarnation, routerIncarnation, completeWanted, grants);
+        return new SlotGrants(coordinator, incarnation, routerIncarnation, completeWanted, grants);
     }
 
     /**
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -45,7 +45,7 @@
     private final ServiceCounters counters;
 
     /** Hands out the slots of the targets kept here. */
-    private final SlotCoordinator keeper;
+    private final SlotCoordinator coordinator;
 
     /** The waiting requests and slots of this router. */
     private final RouterSlots slots;
@@ -78,7 +78,8 @@
         this.name = name;
         this.sender = sender;
         counters = new ServiceCounters(name, incarnation);
-        keeper = new SlotCoordinator(name, incarnation, parameters, counters, GrantLog.INSTANCE);
+        coordinator =
+                new SlotCoordinator(name, incarnation, parameters, counters, GrantLog.INSTANCE);
         slots = new RouterSlots(name, incarnation, parameters, PrefixThenLeastLoaded.INSTANCE);
     }
 
@@ -89,7 +90,7 @@
      */
     public void configure(ActiveConfiguration configuration) {
         terms = new ContractTerms(configuration);
-        keeper.terms(terms);
+        coordinator.terms(terms);
     }
 
     /**
@@ -106,7 +107,7 @@
                         .filter(target -> keepers.containsKey(target.name()))
                         .filter(target -> keepers.get(target.name()).name().equals(name))
                         .toList();
-        keeper.assign(kept, members, reactor.currentTimeMillis());
+        coordinator.assign(kept, members, reactor.currentTimeMillis());
         slots.assign(targets, keepers);
         exchangeSoon();
     }
@@ -118,7 +119,7 @@
      * @param takesWork {@code false} if it is leaving or away.
      */
     public void open(String target, boolean takesWork) {
-        keeper.open(target, takesWork);
+        coordinator.open(target, takesWork);
         slots.open(target, takesWork);
         exchangeSoon();
     }
@@ -178,7 +179,7 @@
      * @param report The report.
      */
     public void received(SlotReport report) {
-        keeper.receive(report, reactor.currentTimeMillis());
+        coordinator.receive(report, reactor.currentTimeMillis());
         exchangeSoon();
     }
 
@@ -231,7 +232,7 @@
 
     /** Repeats grants that were lost and refreshes what keepers know. To be called now and then. */
     public void maintain() {
-        keeper.maintain(reactor.currentTimeMillis());
+        coordinator.maintain(reactor.currentTimeMillis());
         exchangeSoon();
     }
 
@@ -258,8 +259,8 @@
      *
      * @return The keeper.
      */
-    public SlotCoordinator keeper() {
-        return keeper;
+    public SlotCoordinator coordinator() {
+        return coordinator;
     }
 
     /** Lets the loop exchange reports and grants once it has done what is due. */
@@ -280,12 +281,12 @@
             for (Map.Entry<CoordinatorReference, SlotReport> entry :
                     slots.takeReports(now).entrySet()) {
                 if (entry.getKey().name().equals(name)) {
-                    keeper.receive(entry.getValue(), now);
+                    coordinator.receive(entry.getValue(), now);
                 } else {
                     sender.send(entry.getKey().name(), entry.getValue());
                 }
             }
-            for (Map.Entry<String, SlotGrants> entry : keeper.decide(now).entrySet()) {
+            for (Map.Entry<String, SlotGrants> entry : coordinator.decide(now).entrySet()) {
                 if (entry.getKey().equals(name)) {
                     settle(slots.receive(entry.getValue()));
                     again = true;
--- a/src/main/java/org/martenwell/schedule/CoordinatorReports.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReports.java
@@ -71,30 +71,30 @@
         keepers = Map.copyOf(assignment);
         targetsByPool = targets;
         reportStates.keySet().retainAll(keepers.values());
-        for (CoordinatorReference keeper : keepers.values()) {
-            reportStates.computeIfAbsent(keeper, key -> new ReportState()).requireComplete();
+        for (CoordinatorReference coordinator : keepers.values()) {
+            reportStates.computeIfAbsent(coordinator, key -> new ReportState()).requireComplete();
         }
     }
 
     /**
      * Makes the next report to a coordinator complete. Has no effect if it coordinates no target.
      *
-     * @param keeper The coordinator.
+     * @param coordinator The coordinator.
      */
-    void requireComplete(CoordinatorReference keeper) {
-        if (reportStates.containsKey(keeper)) {
-            reportStates.get(keeper).requireComplete();
+    void requireComplete(CoordinatorReference coordinator) {
+        if (reportStates.containsKey(coordinator)) {
+            reportStates.get(coordinator).requireComplete();
         }
     }
 
     /**
      * Makes the next report to all incarnations of a coordinator complete.
      *
-     * @param keeper The coordinator's name.
+     * @param coordinator The coordinator's name.
      */
-    void requireComplete(String keeper) {
+    void requireComplete(String coordinator) {
         for (Map.Entry<CoordinatorReference, ReportState> entry : reportStates.entrySet()) {
-            if (entry.getKey().name().equals(keeper)) {
+            if (entry.getKey().name().equals(coordinator)) {
                 entry.getValue().requireComplete();
             }
         }
@@ -142,12 +142,13 @@
     Map<CoordinatorReference, SlotReport> take(long now) {
         Map<CoordinatorReference, SlotReport> reports = new LinkedHashMap<>();
         for (Map.Entry<CoordinatorReference, ReportState> entry : reportStates.entrySet()) {
-            CoordinatorReference keeper = entry.getKey();
+            CoordinatorReference coordinator = entry.getKey();
             ReportState reportState = entry.getValue();
             if (reportState.completeReportDue(now, parameters.completeReportIntervalMillis())) {
-                reports.put(keeper, buildCompleteReport(keeper, reportState, now));
+                reports.put(coordinator, buildCompleteReport(coordinator, reportState, now));
             } else {
-                changes(keeper, reportState, now).ifPresent(report -> reports.put(keeper, report));
+                changes(coordinator, reportState, now)
+                        .ifPresent(report -> reports.put(coordinator, report));
             }
         }
         return reports;
@@ -160,17 +161,17 @@
     /**
      * Builds a report of all queues, slots and failures that concern a coordinator.
      *
-     * @param keeper The coordinator.
+     * @param coordinator The coordinator.
      * @param reportState The state of the reports to the coordinator.
      * @param now The current time in milliseconds.
      * @return The report.
      */
     private SlotReport buildCompleteReport(
-            CoordinatorReference keeper, ReportState reportState, long now) {
+            CoordinatorReference coordinator, ReportState reportState, long now) {
         reportState.recordCompleteReport(now);
         List<Demand> demands = new ArrayList<>();
         for (QueueKey key : queues.keys()) {
-            if (coordinatesPool(keeper, key.pool())) {
+            if (coordinatesPool(coordinator, key.pool())) {
                 QueueState current = queues.demand(key, parameters.maxReportedWaiting());
                 reportState.recordReported(key, current);
                 demands.add(current.message(key, now));
@@ -179,24 +180,24 @@
         List<Holding> holdings = new ArrayList<>();
         List<FailureCount> failures = new ArrayList<>();
         for (TargetSlots targetSlots : slots.all()) {
-            if (targetSlots.keeper().equals(keeper)) {
+            if (targetSlots.coordinator().equals(coordinator)) {
                 holdings.addAll(slots.holdings(targetSlots));
                 slots.failureCount(targetSlots.target().name()).ifPresent(failures::add);
             }
         }
-        return report(keeper, true, demands, holdings, failures);
+        return report(coordinator, true, demands, holdings, failures);
     }
 
     /**
      * Builds a report of the changes since the last report.
      *
-     * @param keeper The coordinator.
+     * @param coordinator The coordinator.
      * @param reportState The state of the reports to the coordinator.
      * @param now The current time in milliseconds.
      * @return The report, or empty if nothing changed.
      */
     private Optional<SlotReport> changes(
-            CoordinatorReference keeper, ReportState reportState, long now) {
+            CoordinatorReference coordinator, ReportState reportState, long now) {
         List<Demand> demands = new ArrayList<>();
         for (QueueKey key : reportState.takeChangedQueues()) {
             QueueState current = queues.demand(key, parameters.maxReportedWaiting());
@@ -218,13 +219,13 @@
         if (demands.isEmpty() && holdings.isEmpty() && failures.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(report(keeper, false, demands, holdings, failures));
+        return Optional.of(report(coordinator, false, demands, holdings, failures));
     }
 
     /**
      * Builds a report with the next sequence number.
      *
-     * @param keeper The coordinator.
+     * @param coordinator The coordinator.
      * @param complete {@code true} if queues and slots that are not listed are empty.
      * @param demands The queues.
      * @param holdings The slots.
@@ -232,7 +233,7 @@
      * @return The report.
      */
     private SlotReport report(
-            CoordinatorReference keeper,
+            CoordinatorReference coordinator,
             boolean complete,
             List<Demand> demands,
             List<Holding> holdings,
@@ -241,7 +242,7 @@
         return new SlotReport(
                 routerName,
                 incarnation,
-                keeper.incarnation(),
+                coordinator.incarnation(),
                 sequence,
                 complete,
                 demands,
@@ -249,8 +250,8 @@
                 failures);
     }
 
-    private boolean coordinatesPool(CoordinatorReference keeper, Pool pool) {
+    private boolean coordinatesPool(CoordinatorReference coordinator, Pool pool) {
         return targetsByPool.getOrDefault(pool, List.of()).stream()
-                .anyMatch(target -> keeper.equals(keepers.get(target.name())));
+                .anyMatch(target -> coordinator.equals(keepers.get(target.name())));
     }
 }
--- a/src/main/java/org/martenwell/schedule/HeldSlots.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlots.java
@@ -35,12 +35,14 @@
     void assign(List<Target> targets, Map<String, CoordinatorReference> keepers) {
         Map<String, TargetSlots> assigned = new TreeMap<>();
         for (Target target : targets) {
-            CoordinatorReference keeper = keepers.get(target.name());
+            CoordinatorReference coordinator = keepers.get(target.name());
             TargetSlots targetSlots = slotsByTarget.get(target.name());
-            if (keeper != null) {
-                boolean unchanged = targetSlots != null && targetSlots.keeper().equals(keeper);
+            if (coordinator != null) {
+                boolean unchanged =
+                        targetSlots != null && targetSlots.coordinator().equals(coordinator);
                 assigned.put(
-                        target.name(), unchanged ? targetSlots : new TargetSlots(target, keeper));
+                        target.name(),
+                        unchanged ? targetSlots : new TargetSlots(target, coordinator));
             }
         }
         slotsByTarget.clear();
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -70,10 +70,10 @@
      * Makes the next report to a coordinator complete, because earlier reports may have been lost
      * with a connection.
      *
-     * @param keeper The coordinator's name.
+     * @param coordinator The coordinator's name.
      */
-    public void connectionLost(String keeper) {
-        reports.requireComplete(keeper);
+    public void connectionLost(String coordinator) {
+        reports.requireComplete(coordinator);
     }
 
     /**
@@ -147,17 +147,17 @@
      */
     public List<Assignment> receive(SlotGrants grants) {
         List<Assignment> assignments = new ArrayList<>();
-        CoordinatorReference keeper =
-                new CoordinatorReference(grants.keeper(), grants.incarnation());
+        CoordinatorReference coordinator =
+                new CoordinatorReference(grants.coordinator(), grants.incarnation());
         if (grants.completeWanted()) {
-            reports.requireComplete(keeper);
+            reports.requireComplete(coordinator);
         }
         if (grants.routerIncarnation() != incarnation) {
             return assignments;
         }
         for (SlotGrant grant : grants.grants()) {
             slots.find(grant.target())
-                    .filter(targetSlots -> targetSlots.keeper().equals(keeper))
+                    .filter(targetSlots -> targetSlots.coordinator().equals(coordinator))
                     .ifPresent(targetSlots -> receive(targetSlots, grant, assignments));
         }
         return assignments;
--- a/src/main/java/org/martenwell/schedule/SlotGrants.java
+++ b/src/main/java/org/martenwell/schedule/SlotGrants.java
@@ -6,7 +6,7 @@
 /**
  * Message from a coordinator to a router with the grants that changed.
  *
- * @param keeper The coordinator's name.
+ * @param coordinator The coordinator's name.
  * @param incarnation The coordinator's incarnation.
  * @param routerIncarnation The incarnation of the router that the totals belong to, or 0 if it is
  *     unknown.
@@ -14,7 +14,7 @@
  * @param grants The totals that changed.
  */
 public record SlotGrants(
-        String keeper,
+        String coordinator,
         long incarnation,
         long routerIncarnation,
         boolean completeWanted,
--- a/src/main/java/org/martenwell/schedule/TargetSlots.java
+++ b/src/main/java/org/martenwell/schedule/TargetSlots.java
@@ -9,7 +9,7 @@
 
     private final Target target;
 
-    private final CoordinatorReference keeper;
+    private final CoordinatorReference coordinator;
 
     /** Totals by slot class. */
     private final Map<String, HeldSlotTotals> classes = new HashMap<>();
@@ -26,11 +26,11 @@
      * Creates an instance without slots.
      *
      * @param target The target.
-     * @param keeper The coordinator that grants the slots.
+     * @param coordinator The coordinator that grants the slots.
      */
-    TargetSlots(Target target, CoordinatorReference keeper) {
+    TargetSlots(Target target, CoordinatorReference coordinator) {
         this.target = target;
-        this.keeper = keeper;
+        this.coordinator = coordinator;
     }
 
     /** {@return the target} */
@@ -39,8 +39,8 @@
     }
 
     /** {@return the coordinator that grants the slots} */
-    CoordinatorReference keeper() {
-        return keeper;
+    CoordinatorReference coordinator() {
+        return coordinator;
     }
 
     /**
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -152,21 +152,21 @@
     private void decisions(int kept, int backlogged) {
         SchedulingParameters parameters = SchedulingParameters.DEFAULTS;
         ServiceCounters counters = new ServiceCounters("router-0", 1);
-        SlotCoordinator keeper =
+        SlotCoordinator coordinator =
                 new SlotCoordinator("router-0", 1, parameters, counters, GrantListener.NO_OP);
         Set<String> members = new HashSet<>(Set.of("router-0", "router-1"));
         List<Target> targets = targets(kept, 1);
-        keeper.assign(targets, members, 0);
+        coordinator.assign(targets, members, 0);
         long[] sequence = {1};
         List<Demand> demands = new ArrayList<>();
         for (int index = 0; index < backlogged; index++) {
             demands.add(new Demand(Pool.ofModel("model-0"), name(index), 8, 1_000));
         }
-        keeper.receive(
+        coordinator.receive(
                 new SlotReport("router-1", 1, 1, sequence[0], true, demands, List.of(), List.of()),
                 10_000);
         Map<String, Long> totals = new HashMap<>();
-        keep(totals, keeper.decide(10_000));
+        keep(totals, coordinator.decide(10_000));
         time(
                 "keeper takes a report, grants a slot",
                 kept + " targets kept, " + backlogged + " backlogged",
@@ -185,11 +185,11 @@
                                     any.getValue(),
                                     0,
                                     0));
-                    keeper.receive(
+                    coordinator.receive(
                             new SlotReport(
                                     "router-1", 1, 1, sequence[0], false, demands, back, List.of()),
                             10_000 + sequence[0]);
-                    keep(totals, keeper.decide(10_000 + sequence[0]));
+                    keep(totals, coordinator.decide(10_000 + sequence[0]));
                 });
     }
 
--- a/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
@@ -45,9 +45,9 @@
         Map<String, CoordinatorReference> after =
                 CoordinatorAssignment.INSTANCE.assign(targets(), rest);
         before.forEach(
-                (target, keeper) -> {
-                    if (!keeper.name().equals("r" + leaver)) {
-                        assertThat(after.get(target)).isEqualTo(keeper);
+                (target, coordinator) -> {
+                    if (!coordinator.name().equals("r" + leaver)) {
+                        assertThat(after.get(target)).isEqualTo(coordinator);
                     }
                 });
     }
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -68,7 +68,7 @@
         for (Node node : nodes) {
             List<Target> coordinated = new ArrayList<>(site.targets());
             coordinated.removeIf(target -> !keepers.get(target.name()).name().equals(node.name()));
-            node.keeper.assign(coordinated, names, now);
+            node.coordinator.assign(coordinated, names, now);
             node.slots.assign(site.targets(), keepers);
         }
     }
@@ -134,7 +134,7 @@
             nodes.forEach(Node::broadcastCounters);
         }
         if (now % RESEND_MILLIS == 0) {
-            nodes.forEach(node -> node.keeper.maintain(now));
+            nodes.forEach(node -> node.coordinator.maintain(now));
         }
         List<RequestStart> started = List.copyOf(starts);
         starts.clear();
@@ -179,14 +179,14 @@
 
         final int index;
         final ServiceCounters counters;
-        final SlotCoordinator keeper;
+        final SlotCoordinator coordinator;
         final RouterSlots slots;
         private final long nodeIncarnation = incarnation;
 
         private Node(int index) {
             this.index = index;
             counters = new ServiceCounters(name(), nodeIncarnation);
-            keeper =
+            coordinator =
                     new SlotCoordinator(
                             name(), nodeIncarnation, parameters, counters, GrantListener.NO_OP);
             slots =
@@ -206,9 +206,9 @@
             for (Map.Entry<CoordinatorReference, SlotReport> entry :
                     new LinkedHashMap<>(slots.takeReports(now)).entrySet()) {
                 int to = Integer.parseInt(entry.getKey().name().substring("router".length()));
-                send(index, to, node -> node.keeper.receive(entry.getValue(), now));
+                send(index, to, node -> node.coordinator.receive(entry.getValue(), now));
             }
-            for (Map.Entry<String, SlotGrants> entry : keeper.decide(now).entrySet()) {
+            for (Map.Entry<String, SlotGrants> entry : coordinator.decide(now).entrySet()) {
                 int to = Integer.parseInt(entry.getKey().substring("router".length()));
                 send(index, to, node -> node.applyGrants(entry.getValue()));
             }
