--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -508,9 +508,9 @@
             return;
         }
         assigned = input;
-        Map<String, CoordinatorReference> keepers =
+        Map<String, CoordinatorReference> coordinators =
                 CoordinatorAssignment.INSTANCE.assign(targets, candidates);
-        scheduler.assign(targets, keepers, membership.names());
+        scheduler.assign(targets, coordinators, membership.names());
         monitor.targets(targets);
     }
 
--- a/src/main/java/org/martenwell/member/CoordinatorAssignment.java
+++ b/src/main/java/org/martenwell/member/CoordinatorAssignment.java
@@ -27,7 +27,7 @@
      */
     public Map<String, CoordinatorReference> assign(
             Collection<Target> targets, Collection<CoordinatorCandidate> candidates) {
-        Map<String, CoordinatorReference> keepers = new LinkedHashMap<>();
+        Map<String, CoordinatorReference> coordinators = new LinkedHashMap<>();
         List<CoordinatorCandidate> all = List.copyOf(candidates);
         for (Target target : targets) {
             List<CoordinatorCandidate> near = new ArrayList<>(all);
@@ -38,11 +38,11 @@
                             preferred,
                             1,
                             each -> RendezvousHash.score(each.name(), target.name()))) {
-                keepers.put(
+                coordinators.put(
                         target.name(),
                         new CoordinatorReference(winner.name(), winner.incarnation()));
             }
         }
-        return keepers;
+        return coordinators;
     }
 }
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -97,18 +97,20 @@
      * Changes the targets, their keepers and the members.
      *
      * @param targets All targets.
-     * @param keepers The keeper of each target, by target.
+     * @param coordinators The keeper of each target, by target.
      * @param members The names of all members, this router included.
      */
     public void assign(
-            List<Target> targets, Map<String, CoordinatorReference> keepers, Set<String> members) {
+            List<Target> targets,
+            Map<String, CoordinatorReference> coordinators,
+            Set<String> members) {
         List<Target> kept =
                 targets.stream()
-                        .filter(target -> keepers.containsKey(target.name()))
-                        .filter(target -> keepers.get(target.name()).name().equals(name))
+                        .filter(target -> coordinators.containsKey(target.name()))
+                        .filter(target -> coordinators.get(target.name()).name().equals(name))
                         .toList();
         coordinator.assign(kept, members, reactor.currentTimeMillis());
-        slots.assign(targets, keepers);
+        slots.assign(targets, coordinators);
         exchangeSoon();
     }
 
--- a/src/main/java/org/martenwell/schedule/CoordinatorReports.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReports.java
@@ -28,7 +28,7 @@
     private final Map<CoordinatorReference, ReportState> reportStates = new LinkedHashMap<>();
 
     /** Coordinators by target name. */
-    private Map<String, CoordinatorReference> keepers = Map.of();
+    private Map<String, CoordinatorReference> coordinators = Map.of();
 
     /** Targets by pool. */
     private Map<Pool, List<Target>> targetsByPool = Map.of();
@@ -68,10 +68,10 @@
      * @param targets The targets by pool.
      */
     void assign(Map<String, CoordinatorReference> assignment, Map<Pool, List<Target>> targets) {
-        keepers = Map.copyOf(assignment);
+        coordinators = Map.copyOf(assignment);
         targetsByPool = targets;
-        reportStates.keySet().retainAll(keepers.values());
-        for (CoordinatorReference coordinator : keepers.values()) {
+        reportStates.keySet().retainAll(coordinators.values());
+        for (CoordinatorReference coordinator : coordinators.values()) {
             reportStates.computeIfAbsent(coordinator, key -> new ReportState()).requireComplete();
         }
     }
@@ -155,7 +155,7 @@
     }
 
     private Optional<ReportState> reportState(String target) {
-        return Optional.ofNullable(keepers.get(target)).map(reportStates::get);
+        return Optional.ofNullable(coordinators.get(target)).map(reportStates::get);
     }
 
     /**
@@ -252,6 +252,6 @@
 
     private boolean coordinatesPool(CoordinatorReference coordinator, Pool pool) {
         return targetsByPool.getOrDefault(pool, List.of()).stream()
-                .anyMatch(target -> coordinator.equals(keepers.get(target.name())));
+                .anyMatch(target -> coordinator.equals(coordinators.get(target.name())));
     }
 }
--- a/src/main/java/org/martenwell/schedule/HeldSlots.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlots.java
@@ -30,12 +30,12 @@
      * running requests continue.
      *
      * @param targets All targets.
-     * @param keepers The coordinators by target name.
+     * @param coordinators The coordinators by target name.
      */
-    void assign(List<Target> targets, Map<String, CoordinatorReference> keepers) {
+    void assign(List<Target> targets, Map<String, CoordinatorReference> coordinators) {
         Map<String, TargetSlots> assigned = new TreeMap<>();
         for (Target target : targets) {
-            CoordinatorReference coordinator = keepers.get(target.name());
+            CoordinatorReference coordinator = coordinators.get(target.name());
             TargetSlots targetSlots = slotsByTarget.get(target.name());
             if (coordinator != null) {
                 boolean unchanged =
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -52,9 +52,9 @@
      * previous coordinators are dropped.
      *
      * @param targets All targets.
-     * @param keepers The coordinators by target name.
+     * @param coordinators The coordinators by target name.
      */
-    public void assign(List<Target> targets, Map<String, CoordinatorReference> keepers) {
+    public void assign(List<Target> targets, Map<String, CoordinatorReference> coordinators) {
         Map<Pool, List<Target>> updated = new HashMap<>();
         for (Target target : targets) {
             for (Pool pool : target.pools()) {
@@ -62,8 +62,8 @@
             }
         }
         targetsByPool = updated;
-        slots.assign(targets, keepers);
-        reports.assign(keepers, updated);
+        slots.assign(targets, coordinators);
+        reports.assign(coordinators, updated);
     }
 
     /**
--- a/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
@@ -17,9 +17,9 @@
 
     @Test
     void testKeeperIsOfTheTargetsFailureDomain() {
-        Map<String, CoordinatorReference> keepers = assign(9);
+        Map<String, CoordinatorReference> coordinators = assign(9);
         for (Target target : targets()) {
-            int router = Integer.parseInt(keepers.get(target.name()).name().substring(1));
+            int router = Integer.parseInt(coordinators.get(target.name()).name().substring(1));
             assertThat("domain" + router % 3).isEqualTo(target.failureDomain());
         }
     }
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -63,13 +63,14 @@
                 names.add(node.name());
             }
         }
-        Map<String, CoordinatorReference> keepers =
+        Map<String, CoordinatorReference> coordinators =
                 CoordinatorAssignment.INSTANCE.assign(site.targets(), candidates);
         for (Node node : nodes) {
             List<Target> coordinated = new ArrayList<>(site.targets());
-            coordinated.removeIf(target -> !keepers.get(target.name()).name().equals(node.name()));
+            coordinated.removeIf(
+                    target -> !coordinators.get(target.name()).name().equals(node.name()));
             node.coordinator.assign(coordinated, names, now);
-            node.slots.assign(site.targets(), keepers);
+            node.slots.assign(site.targets(), coordinators);
         }
     }
 
