--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -66,7 +66,7 @@
     static void write(SlotReport message, FieldWriter writer) throws IOException {
         writer.name(message.router());
         writer.number(message.incarnation());
-        writer.number(message.keeperIncarnation());
+        writer.number(message.coordinatorIncarnation());
         writer.number(message.sequence());
         writer.flag(message.complete());
         writer.count(message.demands().size());
@@ -104,13 +104,13 @@
     static SlotReport readSlotReport(FieldReader reader) throws IOException {
         String router = reader.name();
         long incarnation = reader.number();
-        long keeperIncarnation = reader.number();
+        long coordinatorIncarnation = reader.number();
         long sequence = reader.number();
         boolean complete = reader.flag();
         return new SlotReport(
                 router,
                 incarnation,
-                keeperIncarnation,
+                coordinatorIncarnation,
                 sequence,
                 complete,
                 reader.list(ScheduleForms::readDemand),
--- a/src/main/java/org/martenwell/schedule/SlotCoordinator.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -176,7 +176,7 @@
             updateBacklog(demand, now);
             demands.receive(report.router(), demand, now);
         }
-        if (report.keeperIncarnation() == incarnation) {
+        if (report.coordinatorIncarnation() == incarnation) {
             applyHoldings(report, now);
         }
     }
--- a/src/main/java/org/martenwell/schedule/SlotReport.java
+++ b/src/main/java/org/martenwell/schedule/SlotReport.java
@@ -8,7 +8,7 @@
  *
  * @param router The router's name.
  * @param incarnation The router's incarnation.
- * @param keeperIncarnation The incarnation of the coordinator that the slot totals belong to.
+ * @param coordinatorIncarnation The incarnation of the coordinator that the slot totals belong to.
  * @param sequence The sequence number within the router's incarnation; outdated reports are
  *     ignored.
  * @param complete {@code true} if queues and slots that are not listed are empty.
@@ -19,7 +19,7 @@
 public record SlotReport(
         String router,
         long incarnation,
-        long keeperIncarnation,
+        long coordinatorIncarnation,
         long sequence,
         boolean complete,
         List<Demand> demands,
