--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -261,7 +261,7 @@
                 ready(),
                 store.version(),
                 members,
-                new TreeSet<>(scheduler.coordinator().keptTargets()),
+                new TreeSet<>(scheduler.coordinator().coordinatedTargets()),
                 scheduler.slots().running(),
                 scheduler.slots().waiting(),
                 served);
@@ -572,7 +572,7 @@
         metrics.gauge("members", () -> membership.names().size());
         metrics.gauge("requests_running", () -> scheduler.slots().running());
         metrics.gauge("requests_waiting", () -> scheduler.slots().waiting());
-        metrics.gauge("targets_kept", () -> scheduler.coordinator().keptTargets().size());
+        metrics.gauge("targets_kept", () -> scheduler.coordinator().coordinatedTargets().size());
         metrics.gauge("peer_bytes_sent", () -> network.traffic().bytesSent());
         metrics.gauge("peer_messages_sent", () -> network.traffic().messagesSent());
         metrics.gauge("peer_bytes_received", () -> network.traffic().bytesReceived());
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -92,7 +92,7 @@
     /** Asks the kept targets for their load. To be called now and then. */
     public void poll() {
         polls++;
-        Set<String> kept = scheduler.coordinator().keptTargets();
+        Set<String> kept = scheduler.coordinator().coordinatedTargets();
         missed.keySet().retainAll(kept);
         announced.keySet().retainAll(kept);
         reports.keySet().retainAll(kept);
--- a/src/main/java/org/martenwell/schedule/SlotCoordinator.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -242,7 +242,7 @@
     }
 
     /** {@return the names of the targets that this router coordinates} */
-    public Set<String> keptTargets() {
+    public Set<String> coordinatedTargets() {
         return Set.copyOf(targets.keySet());
     }
 
