--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -288,7 +288,7 @@
                     sender.send(entry.getKey().name(), entry.getValue());
                 }
             }
-            for (Map.Entry<String, SlotGrants> entry : coordinator.decide(now).entrySet()) {
+            for (Map.Entry<String, SlotGrants> entry : coordinator.allocate(now).entrySet()) {
                 if (entry.getKey().equals(name)) {
                     settle(slots.receive(entry.getValue()));
                     again = true;
--- a/src/main/java/org/martenwell/schedule/SlotCoordinator.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -52,7 +52,7 @@
      */
     private final Set<String> resyncRequired = new HashSet<>();
 
-    /** Grants to send with the next call of {@link #decide(long)}, by router. */
+    /** Grants to send with the next call of {@link #allocate(long)}, by router. */
     private final Map<String, Map<SlotClassKey, SlotGrant>> outgoing = new LinkedHashMap<>();
 
     private OrganisationTerms terms = EqualTerms.INSTANCE;
@@ -187,9 +187,9 @@
      * @param now The current time in milliseconds.
      * @return The messages to send, by router name; routers without changes are absent.
      */
-    public Map<String, SlotGrants> decide(long now) {
+    public Map<String, SlotGrants> allocate(long now) {
         for (CoordinatedTarget coordinated : targets.values()) {
-            decide(coordinated, now);
+            allocate(coordinated, now);
         }
         Map<String, SlotGrants> messages = new LinkedHashMap<>();
         for (String router : resyncRequired) {
@@ -382,7 +382,7 @@
      * @param coordinated The target.
      * @param now The current time in milliseconds.
      */
-    private void decide(CoordinatedTarget coordinated, long now) {
+    private void allocate(CoordinatedTarget coordinated, long now) {
         int offered = coordinated.offered(now);
         boolean full = offered > 0 && coordinated.taken() >= offered + parameters.overcommitSlots();
         boolean nothingToDo = full && coordinated.lent() == 0;
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -166,7 +166,7 @@
                 new SlotReport("router-1", 1, 1, sequence[0], true, demands, List.of(), List.of()),
                 10_000);
         Map<String, Long> totals = new HashMap<>();
-        keep(totals, coordinator.decide(10_000));
+        keep(totals, coordinator.allocate(10_000));
         time(
                 "keeper takes a report, grants a slot",
                 kept + " targets kept, " + backlogged + " backlogged",
@@ -189,7 +189,7 @@
                             new SlotReport(
                                     "router-1", 1, 1, sequence[0], false, demands, back, List.of()),
                             10_000 + sequence[0]);
-                    keep(totals, coordinator.decide(10_000 + sequence[0]));
+                    keep(totals, coordinator.allocate(10_000 + sequence[0]));
                 });
     }
 
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -209,7 +209,7 @@
                 int to = Integer.parseInt(entry.getKey().name().substring("router".length()));
                 send(index, to, node -> node.coordinator.receive(entry.getValue(), now));
             }
-            for (Map.Entry<String, SlotGrants> entry : coordinator.decide(now).entrySet()) {
+            for (Map.Entry<String, SlotGrants> entry : coordinator.allocate(now).entrySet()) {
                 int to = Integer.parseInt(entry.getKey().substring("router".length()));
                 send(index, to, node -> node.applyGrants(entry.getValue()));
             }
