--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -129,7 +129,7 @@
         writer.name(message.coordinator());
         writer.number(message.incarnation());
         writer.number(message.routerIncarnation());
-        writer.flag(message.completeWanted());
+        writer.flag(message.completeReportRequested());
         writer.count(message.grants().size());
         for (SlotGrant grant : message.grants()) {
             writer.name(grant.target());
@@ -151,9 +151,10 @@
         String coordinator = reader.name();
         long incarnation = reader.number();
         long routerIncarnation = reader.number();
-        boolean completeWanted = reader.flag();
+        boolean completeReportRequested = reader.flag();
         List<SlotGrant> grants = reader.list(ScheduleForms::readSlotGrant);
-        return new SlotGrants(coordinator, incarnation, routerIncarnation, completeWanted, grants);
+        return new SlotGrants(
+                coordinator, incarnation, routerIncarnation, completeReportRequested, grants);
     }
 
     /**
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -149,7 +149,7 @@
         List<Assignment> assignments = new ArrayList<>();
         CoordinatorReference coordinator =
                 new CoordinatorReference(grants.coordinator(), grants.incarnation());
-        if (grants.completeWanted()) {
+        if (grants.completeReportRequested()) {
             reports.requireComplete(coordinator);
         }
         if (grants.routerIncarnation() != incarnation) {
--- a/src/main/java/org/martenwell/schedule/SlotCoordinator.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -207,13 +207,14 @@
      * Builds a message with the pending grants of a router.
      *
      * @param router The router's name.
-     * @param completeWanted {@code true} to request a complete report.
+     * @param completeReportRequested {@code true} to request a complete report.
      * @return The message.
      */
-    private SlotGrants message(String router, boolean completeWanted) {
+    private SlotGrants message(String router, boolean completeReportRequested) {
         List<SlotGrant> grants = List.copyOf(outgoing.getOrDefault(router, Map.of()).values());
         long routerIncarnation = latestIncarnations.getOrDefault(router, 0L);
-        return new SlotGrants(name, incarnation, routerIncarnation, completeWanted, grants);
+        return new SlotGrants(
+                name, incarnation, routerIncarnation, completeReportRequested, grants);
     }
 
     /**
--- a/src/main/java/org/martenwell/schedule/SlotGrants.java
+++ b/src/main/java/org/martenwell/schedule/SlotGrants.java
@@ -10,13 +10,13 @@
  * @param incarnation The coordinator's incarnation.
  * @param routerIncarnation The incarnation of the router that the totals belong to, or 0 if it is
  *     unknown.
- * @param completeWanted {@code true} if the router has to send a complete report.
+ * @param completeReportRequested {@code true} if the router has to send a complete report.
  * @param grants The totals that changed.
  */
 public record SlotGrants(
         String coordinator,
         long incarnation,
         long routerIncarnation,
-        boolean completeWanted,
+        boolean completeReportRequested,
         List<SlotGrant> grants)
         implements PeerMessage {}
