--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -82,7 +82,7 @@
             writer.name(holding.target());
             writer.number(holding.term());
             writer.name(holding.slotClass());
-            writer.number(holding.seen());
+            writer.number(holding.acknowledged());
             writer.number(holding.released());
             writer.number(holding.running());
             writer.number(holding.carried());
--- a/src/main/java/org/martenwell/schedule/GrantTotals.java
+++ b/src/main/java/org/martenwell/schedule/GrantTotals.java
@@ -9,7 +9,7 @@
     private long granted;
 
     /** Total number of granted slots that the router has acknowledged. */
-    private long seen;
+    private long acknowledged;
 
     private long released;
 
@@ -34,7 +34,7 @@
      * @param holding The reported totals.
      */
     void receive(Holding holding) {
-        seen = Math.max(seen, Math.min(holding.seen(), granted));
+        acknowledged = Math.max(acknowledged, Math.min(holding.acknowledged(), granted));
         released = Math.max(released, Math.min(holding.released(), granted));
     }
 
@@ -52,7 +52,7 @@
      * @return The report.
      */
     Holding idle(String target, long term, String slotClass) {
-        return new Holding(target, term, slotClass, seen, released, 0, 0);
+        return new Holding(target, term, slotClass, acknowledged, released, 0, 0);
     }
 
     /** {@return the number of slots granted and not yet released} */
@@ -62,7 +62,7 @@
 
     /** {@return the number of granted slots that the router has not acknowledged yet} */
     int unacknowledged() {
-        return (int) (granted - seen);
+        return (int) (granted - acknowledged);
     }
 
     /**
--- a/src/main/java/org/martenwell/schedule/HeldSlotTotals.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlotTotals.java
@@ -4,7 +4,7 @@
 final class HeldSlotTotals {
 
     /** Total number of slots granted, as last received. */
-    private long seen;
+    private long acknowledged;
 
     /** Total number of slots released. */
     private long released;
@@ -22,8 +22,8 @@
      * @return The number of slots that are new.
      */
     int receive(long total) {
-        int newSlots = (int) Math.max(0, total - seen);
-        seen += newSlots;
+        int newSlots = (int) Math.max(0, total - acknowledged);
+        acknowledged += newSlots;
         idle += newSlots;
         return newSlots;
     }
@@ -59,8 +59,8 @@
     }
 
     /** {@return the total number of slots granted, as last received} */
-    long seen() {
-        return seen;
+    long acknowledged() {
+        return acknowledged;
     }
 
     /** {@return the total number of slots released} */
--- a/src/main/java/org/martenwell/schedule/HeldSlots.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlots.java
@@ -127,7 +127,7 @@
                 key.target(),
                 targetSlots.term(),
                 key.slotClass(),
-                totals.seen(),
+                totals.acknowledged(),
                 totals.released(),
                 runningCount,
                 runningCount - targetSlots.running(key.slotClass()));
--- a/src/main/java/org/martenwell/schedule/Holding.java
+++ b/src/main/java/org/martenwell/schedule/Holding.java
@@ -9,7 +9,7 @@
  * @param term The coordinator's term that the totals belong to, or 0 if the router does not know it
  *     yet.
  * @param slotClass The organisation that the slots were granted to, or {@link SlotClass#ANY}.
- * @param seen The total number of granted slots that the router acknowledges.
+ * @param acknowledged The total number of granted slots that the router acknowledges.
  * @param released The total number of slots that the router has released.
  * @param running The number of this organisation's requests that run at the target, in slots of any
  *     class.
@@ -20,7 +20,7 @@
         String target,
         long term,
         String slotClass,
-        long seen,
+        long acknowledged,
         long released,
         int running,
         int carried) {
