--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -75,7 +75,7 @@
             writer.name(demand.pool().name());
             writer.name(demand.organisation());
             writer.number(demand.waiting());
-            writer.number(demand.urgency());
+            writer.number(demand.effectiveWaitMillis());
         }
         writer.count(message.holdings().size());
         for (Holding holding : message.holdings()) {
--- a/src/main/java/org/martenwell/schedule/Demand.java
+++ b/src/main/java/org/martenwell/schedule/Demand.java
@@ -9,7 +9,7 @@
  * @param organisation The organisation that the requests belong to.
  * @param waiting The number of waiting requests, capped by {@link
  *     SchedulingParameters#maxReportedWaiting()}.
- * @param urgency The effective wait of the first request in milliseconds: the time waited so far
- *     plus the head start of its priority; 0 if no request waits.
+ * @param effectiveWaitMillis The effective wait of the first request in milliseconds: the time
+ *     waited so far plus the head start of its priority; 0 if no request waits.
  */
-public record Demand(Pool pool, String organisation, int waiting, long urgency) {}
+public record Demand(Pool pool, String organisation, int waiting, long effectiveWaitMillis) {}
--- a/src/main/java/org/martenwell/schedule/DemandTable.java
+++ b/src/main/java/org/martenwell/schedule/DemandTable.java
@@ -34,7 +34,7 @@
      */
     void receive(String router, Demand demand, long now) {
         QueueKey key = new QueueKey(demand.pool(), demand.organisation());
-        update(router, key, demand.waiting(), now - demand.urgency());
+        update(router, key, demand.waiting(), now - demand.effectiveWaitMillis());
     }
 
     /**
--- a/src/main/java/org/martenwell/schedule/QueueState.java
+++ b/src/main/java/org/martenwell/schedule/QueueState.java
@@ -33,7 +33,7 @@
      * @return The message.
      */
     Demand message(QueueKey key, long now) {
-        long urgency = waiting == 0 ? 0 : now - effectiveArrival;
-        return new Demand(key.pool(), key.organisation(), waiting, urgency);
+        long effectiveWaitMillis = waiting == 0 ? 0 : now - effectiveArrival;
+        return new Demand(key.pool(), key.organisation(), waiting, effectiveWaitMillis);
     }
 }
