--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -30,7 +30,7 @@
         writer.name(message.router());
         writer.number(message.incarnation());
         writer.number(message.sequence());
-        writer.service(message.level());
+        writer.service(message.liftLevel());
         writer.count(message.entries().size());
         for (ServiceEntry entry : message.entries()) {
             writer.name(entry.organisation());
@@ -51,9 +51,9 @@
         String router = reader.name();
         long incarnation = reader.number();
         long sequence = reader.number();
-        double level = reader.service();
+        double liftLevel = reader.service();
         List<ServiceEntry> entries = reader.list(ScheduleForms::readServiceEntry);
-        return new ServiceReport(router, incarnation, sequence, level, entries);
+        return new ServiceReport(router, incarnation, sequence, liftLevel, entries);
     }
 
     /**
--- a/src/main/java/org/martenwell/schedule/ServiceCounters.java
+++ b/src/main/java/org/martenwell/schedule/ServiceCounters.java
@@ -155,7 +155,7 @@
             peerService.merge(entry.organisation(), increase, Double::sum);
             lifts.merge(entry.organisation(), entry.lift(), Math::max);
         }
-        raiseLiftLevel(report.level());
+        raiseLiftLevel(report.liftLevel());
         if (newest) {
             clearInUseBefore(peer);
         }
--- a/src/main/java/org/martenwell/schedule/ServiceReport.java
+++ b/src/main/java/org/martenwell/schedule/ServiceReport.java
@@ -10,10 +10,14 @@
  * @param router The router's name.
  * @param incarnation The router's incarnation, which increases with each restart.
  * @param sequence The report's sequence number within the incarnation.
- * @param level The weighted service to which organisations returning from idle are raised, in
+ * @param liftLevel The weighted service to which organisations returning from idle are raised, in
  *     units; never decreases.
  * @param entries The counters of the organisations that changed.
  */
 public record ServiceReport(
-        String router, long incarnation, long sequence, double level, List<ServiceEntry> entries)
+        String router,
+        long incarnation,
+        long sequence,
+        double liftLevel,
+        List<ServiceEntry> entries)
         implements PeerMessage {}
