--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -220,7 +220,7 @@
      */
     public void connected(String peer) {
         slots.connectionLost(peer);
-        sender.send(peer, counters.everything());
+        sender.send(peer, counters.completeReport());
         for (ServiceReport report : counters.knownOfPeers()) {
             sender.send(peer, report);
         }
--- a/src/main/java/org/martenwell/schedule/ServiceCounters.java
+++ b/src/main/java/org/martenwell/schedule/ServiceCounters.java
@@ -206,7 +206,7 @@
      *
      * @return The report.
      */
-    public ServiceReport everything() {
+    public ServiceReport completeReport() {
         Set<String> all = new HashSet<>(ownService.keySet());
         all.addAll(ownInUse.keySet());
         all.addAll(lifts.keySet());
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -86,7 +86,7 @@
         nodes.set(index, new Node(index));
         assign(Set.of());
         for (Node node : nodes) {
-            nodes.get(index).counters.receive(node.counters.everything());
+            nodes.get(index).counters.receive(node.counters.completeReport());
             node.counters.knownOfPeers().forEach(nodes.get(index).counters::receive);
         }
     }
