--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -221,7 +221,7 @@
     public void connected(String peer) {
         slots.connectionLost(peer);
         sender.send(peer, counters.completeReport());
-        for (ServiceReport report : counters.knownOfPeers()) {
+        for (ServiceReport report : counters.peerReports()) {
             sender.send(peer, report);
         }
         exchangeSoon();
--- a/src/main/java/org/martenwell/schedule/ServiceCounters.java
+++ b/src/main/java/org/martenwell/schedule/ServiceCounters.java
@@ -219,7 +219,7 @@
      *
      * @return One report for each known incarnation.
      */
-    public List<ServiceReport> knownOfPeers() {
+    public List<ServiceReport> peerReports() {
         List<ServiceReport> reports = new ArrayList<>();
         for (Map.Entry<PeerIncarnation, PeerCounters> entry : peers.entrySet()) {
             PeerIncarnation peer = entry.getKey();
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -87,7 +87,7 @@
         assign(Set.of());
         for (Node node : nodes) {
             nodes.get(index).counters.receive(node.counters.completeReport());
-            node.counters.knownOfPeers().forEach(nodes.get(index).counters::receive);
+            node.counters.peerReports().forEach(nodes.get(index).counters::receive);
         }
     }
 
