--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -210,7 +210,7 @@
      * @param removed The peers' names.
      */
     public void removed(Collection<String> removed) {
-        removed.forEach(counters::memberLeft);
+        removed.forEach(counters::removeMember);
     }
 
     /**
--- a/src/main/java/org/martenwell/schedule/ServiceCounters.java
+++ b/src/main/java/org/martenwell/schedule/ServiceCounters.java
@@ -167,7 +167,7 @@
      *
      * @param name The peer's name.
      */
-    public void memberLeft(String name) {
+    public void removeMember(String name) {
         for (Map.Entry<PeerIncarnation, PeerCounters> entry : peers.entrySet()) {
             if (entry.getKey().router().equals(name)) {
                 entry.getValue().clearInUse();
