--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -219,7 +219,7 @@
      * @param peer The peer's name.
      */
     public void connected(String peer) {
-        slots.connectionLost(peer);
+        slots.requireCompleteReport(peer);
         sender.send(peer, counters.completeReport());
         for (ServiceReport report : counters.peerReports()) {
             sender.send(peer, report);
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -72,7 +72,7 @@
      *
      * @param coordinator The coordinator's name.
      */
-    public void connectionLost(String coordinator) {
+    public void requireCompleteReport(String coordinator) {
         reports.requireComplete(coordinator);
     }
 
