--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -120,9 +120,9 @@
      * @param target The target's name.
      * @param takesWork {@code false} if it is leaving or away.
      */
-    public void open(String target, boolean takesWork) {
-        coordinator.open(target, takesWork);
-        slots.open(target, takesWork);
+    public void setAcceptsRequests(String target, boolean takesWork) {
+        coordinator.setAcceptsRequests(target, takesWork);
+        slots.setAcceptsRequests(target, takesWork);
         exchangeSoon();
     }
 
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -192,7 +192,7 @@
                             .with("target", target.name())
                             .with("open", open)
                             .message());
-            scheduler.open(target.name(), open);
+            scheduler.setAcceptsRequests(target.name(), open);
         }
     }
 
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -83,7 +83,7 @@
      * @param target The target's name.
      * @param accepting {@code false} if the target is draining or unavailable.
      */
-    public void open(String target, boolean accepting) {
+    public void setAcceptsRequests(String target, boolean accepting) {
         if (accepting) {
             unavailableTargets.remove(target);
             return;
--- a/src/main/java/org/martenwell/schedule/SlotCoordinator.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -149,7 +149,7 @@
      * @param target The target's name.
      * @param accepting {@code false} if the target is draining or unavailable.
      */
-    public void open(String target, boolean accepting) {
+    public void setAcceptsRequests(String target, boolean accepting) {
         CoordinatedTarget coordinated = targets.get(target);
         if (coordinated != null) {
             coordinated.setAcceptsRequests(accepting);
