--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -26,9 +26,9 @@
 import org.martenwell.configuration.ActiveConfiguration;
 import org.martenwell.configuration.Target;
 import org.martenwell.http.HttpCalls;
+import org.martenwell.member.CoordinatorAssignment;
+import org.martenwell.member.CoordinatorCandidate;
 import org.martenwell.member.Heartbeat;
-import org.martenwell.member.KeeperAssignment;
-import org.martenwell.member.KeeperCandidate;
 import org.martenwell.member.Member;
 import org.martenwell.member.Membership;
 import org.martenwell.member.MembershipChange;
@@ -64,7 +64,7 @@
 import org.martenwell.router.RouterTimes;
 import org.martenwell.router.TargetMonitor;
 import org.martenwell.router.Ticker;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.schedule.ServiceReport;
 import org.martenwell.schedule.SlotGrants;
@@ -261,7 +261,7 @@
                 ready(),
                 store.version(),
                 members,
-                new TreeSet<>(scheduler.keeper().keptTargets()),
+                new TreeSet<>(scheduler.coordinator().coordinatedTargets()),
                 scheduler.slots().running(),
                 scheduler.slots().waiting(),
                 served);
@@ -489,16 +489,17 @@
             return;
         }
         List<Target> targets = store.active().get().configuration().targets();
-        List<KeeperCandidate> candidates = new ArrayList<>();
+        List<CoordinatorCandidate> candidates = new ArrayList<>();
         if (ready()) {
             candidates.add(
-                    new KeeperCandidate(settings.name(), incarnation, settings.failureDomain()));
+                    new CoordinatorCandidate(
+                            settings.name(), incarnation, settings.failureDomain()));
         }
         for (Member member : membership.others().values()) {
             Heartbeat heartbeat = member.heartbeat();
             if (heartbeat.ready()) {
                 candidates.add(
-                        new KeeperCandidate(
+                        new CoordinatorCandidate(
                                 member.name(), heartbeat.incarnation(), heartbeat.failureDomain()));
             }
         }
@@ -507,9 +508,9 @@
             return;
         }
         assigned = input;
-        Map<String, KeeperReference> keepers =
-                KeeperAssignment.INSTANCE.assign(targets, candidates);
-        scheduler.assign(targets, keepers, membership.names());
+        Map<String, CoordinatorReference> coordinators =
+                CoordinatorAssignment.INSTANCE.assign(targets, candidates);
+        scheduler.assign(targets, coordinators, membership.names());
         monitor.targets(targets);
     }
 
@@ -571,7 +572,7 @@
         metrics.gauge("members", () -> membership.names().size());
         metrics.gauge("requests_running", () -> scheduler.slots().running());
         metrics.gauge("requests_waiting", () -> scheduler.slots().waiting());
-        metrics.gauge("targets_kept", () -> scheduler.keeper().keptTargets().size());
+        metrics.gauge("targets_kept", () -> scheduler.coordinator().coordinatedTargets().size());
         metrics.gauge("peer_bytes_sent", () -> network.traffic().bytesSent());
         metrics.gauge("peer_messages_sent", () -> network.traffic().messagesSent());
         metrics.gauge("peer_bytes_received", () -> network.traffic().bytesReceived());
--- a/src/main/java/org/martenwell/member/KeeperAssignment.java
+++ b/src/main/java/org/martenwell/member/CoordinatorAssignment.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import org.martenwell.configuration.Target;
 import org.martenwell.hash.RendezvousHash;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 
 /**
  * Assigns a keeper to each target by rendezvous hashing, preferring routers of the target's failure
  * domain. When a router comes or goes, only targets that it wins or held change their keeper.
  */
-public enum KeeperAssignment {
+public enum CoordinatorAssignment {
 
     /** The only instance. */
     INSTANCE;
@@ -25,23 +25,24 @@
      * @param candidates The routers that may keep targets.
      * @return The keeper of each target, by target; empty if there are no candidates.
      */
-    public Map<String, KeeperReference> assign(
-            Collection<Target> targets, Collection<KeeperCandidate> candidates) {
-        Map<String, KeeperReference> keepers = new LinkedHashMap<>();
-        List<KeeperCandidate> all = List.copyOf(candidates);
+    public Map<String, CoordinatorReference> assign(
+            Collection<Target> targets, Collection<CoordinatorCandidate> candidates) {
+        Map<String, CoordinatorReference> coordinators = new LinkedHashMap<>();
+        List<CoordinatorCandidate> all = List.copyOf(candidates);
         for (Target target : targets) {
-            List<KeeperCandidate> near = new ArrayList<>(all);
+            List<CoordinatorCandidate> near = new ArrayList<>(all);
             near.removeIf(each -> !each.failureDomain().equals(target.failureDomain()));
-            List<KeeperCandidate> preferred = near.isEmpty() ? all : near;
-            for (KeeperCandidate winner :
+            List<CoordinatorCandidate> preferred = near.isEmpty() ? all : near;
+            for (CoordinatorCandidate winner :
                     RendezvousHash.best(
                             preferred,
                             1,
                             each -> RendezvousHash.score(each.name(), target.name()))) {
-                keepers.put(
-                        target.name(), new KeeperReference(winner.name(), winner.incarnation()));
+                coordinators.put(
+                        target.name(),
+                        new CoordinatorReference(winner.name(), winner.incarnation()));
             }
         }
-        return keepers;
+        return coordinators;
     }
 }
--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleForms.java
@@ -30,7 +30,7 @@
         writer.name(message.router());
         writer.number(message.incarnation());
         writer.number(message.sequence());
-        writer.service(message.level());
+        writer.service(message.liftLevel());
         writer.count(message.entries().size());
         for (ServiceEntry entry : message.entries()) {
             writer.name(entry.organisation());
@@ -51,9 +51,9 @@
         String router = reader.name();
         long incarnation = reader.number();
         long sequence = reader.number();
-        double level = reader.service();
+        double liftLevel = reader.service();
         List<ServiceEntry> entries = reader.list(ScheduleForms::readServiceEntry);
-        return new ServiceReport(router, incarnation, sequence, level, entries);
+        return new ServiceReport(router, incarnation, sequence, liftLevel, entries);
     }
 
     /**
@@ -66,7 +66,7 @@
     static void write(SlotReport message, FieldWriter writer) throws IOException {
         writer.name(message.router());
         writer.number(message.incarnation());
-        writer.number(message.keeperIncarnation());
+        writer.number(message.coordinatorIncarnation());
         writer.number(message.sequence());
         writer.flag(message.complete());
         writer.count(message.demands().size());
@@ -75,14 +75,14 @@
             writer.name(demand.pool().name());
             writer.name(demand.organisation());
             writer.number(demand.waiting());
-            writer.number(demand.urgency());
+            writer.number(demand.effectiveWaitMillis());
         }
         writer.count(message.holdings().size());
         for (Holding holding : message.holdings()) {
             writer.name(holding.target());
             writer.number(holding.term());
             writer.name(holding.slotClass());
-            writer.number(holding.seen());
+            writer.number(holding.acknowledged());
             writer.number(holding.released());
             writer.number(holding.running());
             writer.number(holding.carried());
@@ -104,13 +104,13 @@
     static SlotReport readSlotReport(FieldReader reader) throws IOException {
         String router = reader.name();
         long incarnation = reader.number();
-        long keeperIncarnation = reader.number();
+        long coordinatorIncarnation = reader.number();
         long sequence = reader.number();
         boolean complete = reader.flag();
         return new SlotReport(
                 router,
                 incarnation,
-                keeperIncarnation,
+                coordinatorIncarnation,
                 sequence,
                 complete,
                 reader.list(ScheduleForms::readDemand),
@@ -126,10 +126,10 @@
      * @throws IOException Never for a buffer in memory.
      */
     static void write(SlotGrants message, FieldWriter writer) throws IOException {
-        writer.name(message.keeper());
+        writer.name(message.coordinator());
         writer.number(message.incarnation());
         writer.number(message.routerIncarnation());
-        writer.flag(message.completeWanted());
+        writer.flag(message.completeReportRequested());
         writer.count(message.grants().size());
         for (SlotGrant grant : message.grants()) {
             writer.name(grant.target());
@@ -148,12 +148,13 @@
      * @throws IOException If it ends early.
      */
     static SlotGrants readSlotGrants(FieldReader reader) throws IOException {
-        String keeper = reader.name();
+        String coordinator = reader.name();
         long incarnation = reader.number();
         long routerIncarnation = reader.number();
-        boolean completeWanted = reader.flag();
+        boolean completeReportRequested = reader.flag();
         List<SlotGrant> grants = reader.list(ScheduleForms::readSlotGrant);
-        return new SlotGrants(keeper, incarnation, routerIncarnation, completeWanted, grants);
+        return new SlotGrants(
+                coordinator, incarnation, routerIncarnation, completeReportRequested, grants);
     }
 
     /**
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -14,14 +14,14 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.schedule.Assignment;
-import org.martenwell.schedule.Keeper;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 import org.martenwell.schedule.PrefixThenLeastLoaded;
 import org.martenwell.schedule.RouterSlots;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.schedule.ServiceCounters;
 import org.martenwell.schedule.ServiceReport;
 import org.martenwell.schedule.Slot;
+import org.martenwell.schedule.SlotCoordinator;
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 import org.martenwell.schedule.WaitingRequest;
@@ -45,7 +45,7 @@
     private final ServiceCounters counters;
 
     /** Hands out the slots of the targets kept here. */
-    private final Keeper keeper;
+    private final SlotCoordinator coordinator;
 
     /** The waiting requests and slots of this router. */
     private final RouterSlots slots;
@@ -78,7 +78,8 @@
         this.name = name;
         this.sender = sender;
         counters = new ServiceCounters(name, incarnation);
-        keeper = new Keeper(name, incarnation, parameters, counters, GrantLog.INSTANCE);
+        coordinator =
+                new SlotCoordinator(name, incarnation, parameters, counters, GrantLog.INSTANCE);
         slots = new RouterSlots(name, incarnation, parameters, PrefixThenLeastLoaded.INSTANCE);
     }
 
@@ -89,25 +90,27 @@
      */
     public void configure(ActiveConfiguration configuration) {
         terms = new ContractTerms(configuration);
-        keeper.terms(terms);
+        coordinator.terms(terms);
     }
 
     /**
      * Changes the targets, their keepers and the members.
      *
      * @param targets All targets.
-     * @param keepers The keeper of each target, by target.
+     * @param coordinators The keeper of each target, by target.
      * @param members The names of all members, this router included.
      */
     public void assign(
-            List<Target> targets, Map<String, KeeperReference> keepers, Set<String> members) {
+            List<Target> targets,
+            Map<String, CoordinatorReference> coordinators,
+            Set<String> members) {
         List<Target> kept =
                 targets.stream()
-                        .filter(target -> keepers.containsKey(target.name()))
-                        .filter(target -> keepers.get(target.name()).name().equals(name))
+                        .filter(target -> coordinators.containsKey(target.name()))
+                        .filter(target -> coordinators.get(target.name()).name().equals(name))
                         .toList();
-        keeper.assign(kept, members, reactor.currentTimeMillis());
-        slots.assign(targets, keepers);
+        coordinator.assign(kept, members, reactor.currentTimeMillis());
+        slots.assign(targets, coordinators);
         exchangeSoon();
     }
 
@@ -117,9 +120,9 @@
      * @param target The target's name.
      * @param takesWork {@code false} if it is leaving or away.
      */
-    public void open(String target, boolean takesWork) {
-        keeper.open(target, takesWork);
-        slots.open(target, takesWork);
+    public void setAcceptsRequests(String target, boolean takesWork) {
+        coordinator.setAcceptsRequests(target, takesWork);
+        slots.setAcceptsRequests(target, takesWork);
         exchangeSoon();
     }
 
@@ -178,7 +181,7 @@
      * @param report The report.
      */
     public void received(SlotReport report) {
-        keeper.receive(report, reactor.currentTimeMillis());
+        coordinator.receive(report, reactor.currentTimeMillis());
         exchangeSoon();
     }
 
@@ -207,7 +210,7 @@
      * @param removed The peers' names.
      */
     public void removed(Collection<String> removed) {
-        removed.forEach(counters::memberLeft);
+        removed.forEach(counters::removeMember);
     }
 
     /**
@@ -216,9 +219,9 @@
      * @param peer The peer's name.
      */
     public void connected(String peer) {
-        slots.connectionLost(peer);
-        sender.send(peer, counters.everything());
-        for (ServiceReport report : counters.knownOfPeers()) {
+        slots.requireCompleteReport(peer);
+        sender.send(peer, counters.completeReport());
+        for (ServiceReport report : counters.peerReports()) {
             sender.send(peer, report);
         }
         exchangeSoon();
@@ -231,7 +234,7 @@
 
     /** Repeats grants that were lost and refreshes what keepers know. To be called now and then. */
     public void maintain() {
-        keeper.maintain(reactor.currentTimeMillis());
+        coordinator.maintain(reactor.currentTimeMillis());
         exchangeSoon();
     }
 
@@ -258,8 +261,8 @@
      *
      * @return The keeper.
      */
-    public Keeper keeper() {
-        return keeper;
+    public SlotCoordinator coordinator() {
+        return coordinator;
     }
 
     /** Lets the loop exchange reports and grants once it has done what is due. */
@@ -277,14 +280,15 @@
         boolean again = true;
         for (int round = 0; again && round < MAX_ROUNDS; round++) {
             again = false;
-            for (Map.Entry<KeeperReference, SlotReport> entry : slots.takeReports(now).entrySet()) {
+            for (Map.Entry<CoordinatorReference, SlotReport> entry :
+                    slots.takeReports(now).entrySet()) {
                 if (entry.getKey().name().equals(name)) {
-                    keeper.receive(entry.getValue(), now);
+                    coordinator.receive(entry.getValue(), now);
                 } else {
                     sender.send(entry.getKey().name(), entry.getValue());
                 }
             }
-            for (Map.Entry<String, SlotGrants> entry : keeper.decide(now).entrySet()) {
+            for (Map.Entry<String, SlotGrants> entry : coordinator.allocate(now).entrySet()) {
                 if (entry.getKey().equals(name)) {
                     settle(slots.receive(entry.getValue()));
                     again = true;
--- a/src/main/java/org/martenwell/schedule/SlotGrants.java
+++ b/src/main/java/org/martenwell/schedule/SlotGrants.java
@@ -4,18 +4,19 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * What a keeper tells a router.
+ * Message from a coordinator to a router with the grants that changed.
  *
- * @param keeper The keeper's name.
- * @param incarnation The keeper's incarnation.
- * @param routerIncarnation The incarnation of the router that the totals belong to.
- * @param completeWanted {@code true} if the router is to report everything.
+ * @param coordinator The coordinator's name.
+ * @param incarnation The coordinator's incarnation.
+ * @param routerIncarnation The incarnation of the router that the totals belong to, or 0 if it is
+ *     unknown.
+ * @param completeReportRequested {@code true} if the router has to send a complete report.
  * @param grants The totals that changed.
  */
 public record SlotGrants(
-        String keeper,
+        String coordinator,
         long incarnation,
         long routerIncarnation,
-        boolean completeWanted,
+        boolean completeReportRequested,
         List<SlotGrant> grants)
         implements PeerMessage {}
--- a/src/test/java/org/martenwell/gateway/TargetEndListener.java
+++ b/src/test/java/org/martenwell/gateway/TargetEndListener.java
@@ -6,7 +6,7 @@
 import org.martenwell.balance.TargetLoad;
 
 /** Listener that forwards only the end of targets, for tests. */
-record TargetEndListener(Consumer<KnownTarget> ended) implements TargetTableListener {
+record TargetEndListener(Consumer<KnownTarget> crashed) implements TargetTableListener {
 
     @Override
     public void crashed(KnownTarget target) {
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -21,20 +21,20 @@
 import org.martenwell.configuration.PoolKind;
 import org.martenwell.configuration.Target;
 import org.martenwell.json.Json;
+import org.martenwell.member.CoordinatorAssignment;
+import org.martenwell.member.CoordinatorCandidate;
 import org.martenwell.member.Heartbeat;
-import org.martenwell.member.KeeperAssignment;
-import org.martenwell.member.KeeperCandidate;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.peer.MessageReader;
 import org.martenwell.peer.MessageWriter;
 import org.martenwell.schedule.Demand;
 import org.martenwell.schedule.GrantListener;
 import org.martenwell.schedule.Holding;
-import org.martenwell.schedule.Keeper;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.schedule.ServiceCounters;
 import org.martenwell.schedule.ServiceEntry;
 import org.martenwell.schedule.ServiceReport;
+import org.martenwell.schedule.SlotCoordinator;
 import org.martenwell.schedule.SlotGrant;
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
@@ -152,20 +152,21 @@
     private void decisions(int kept, int backlogged) {
         SchedulingParameters parameters = SchedulingParameters.DEFAULTS;
         ServiceCounters counters = new ServiceCounters("router-0", 1);
-        Keeper keeper = new Keeper("router-0", 1, parameters, counters, GrantListener.NO_OP);
+        SlotCoordinator coordinator =
+                new SlotCoordinator("router-0", 1, parameters, counters, GrantListener.NO_OP);
         Set<String> members = new HashSet<>(Set.of("router-0", "router-1"));
         List<Target> targets = targets(kept, 1);
-        keeper.assign(targets, members, 0);
+        coordinator.assign(targets, members, 0);
         long[] sequence = {1};
         List<Demand> demands = new ArrayList<>();
         for (int index = 0; index < backlogged; index++) {
             demands.add(new Demand(Pool.ofModel("model-0"), name(index), 8, 1_000));
         }
-        keeper.receive(
+        coordinator.receive(
                 new SlotReport("router-1", 1, 1, sequence[0], true, demands, List.of(), List.of()),
                 10_000);
         Map<String, Long> totals = new HashMap<>();
-        keep(totals, keeper.decide(10_000));
+        keep(totals, coordinator.allocate(10_000));
         time(
                 "keeper takes a report, grants a slot",
                 kept + " targets kept, " + backlogged + " backlogged",
@@ -184,11 +185,11 @@
                                     any.getValue(),
                                     0,
                                     0));
-                    keeper.receive(
+                    coordinator.receive(
                             new SlotReport(
                                     "router-1", 1, 1, sequence[0], false, demands, back, List.of()),
                             10_000 + sequence[0]);
-                    keep(totals, keeper.decide(10_000 + sequence[0]));
+                    keep(totals, coordinator.allocate(10_000 + sequence[0]));
                 });
     }
 
@@ -203,16 +204,19 @@
     }
 
     private void assignments(int members, int targetCount) {
-        List<KeeperCandidate> candidates =
+        List<CoordinatorCandidate> candidates =
                 IntStream.range(0, members)
-                        .mapToObj(index -> new KeeperCandidate("router-" + index, 1, domain(index)))
+                        .mapToObj(
+                                index ->
+                                        new CoordinatorCandidate(
+                                                "router-" + index, 1, domain(index)))
                         .toList();
         List<Target> targets = targets(targetCount, 33);
         time(
                 "keepers assigned",
                 members + " members, " + targetCount + " targets",
                 2,
-                () -> KeeperAssignment.INSTANCE.assign(targets, candidates));
+                () -> CoordinatorAssignment.INSTANCE.assign(targets, candidates));
     }
 
     private static ServiceReport serviceReport(int organisations, long sequence) {
--- a/src/test/java/org/martenwell/member/KeeperAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
@@ -11,54 +11,55 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.configuration.PoolKind;
 import org.martenwell.configuration.Target;
-import org.martenwell.schedule.KeeperReference;
+import org.martenwell.schedule.CoordinatorReference;
 
-class KeeperAssignmentTest {
+class CoordinatorAssignmentTest {
 
     @Test
     void testKeeperIsOfTheTargetsFailureDomain() {
-        Map<String, KeeperReference> keepers = assign(9);
+        Map<String, CoordinatorReference> coordinators = assign(9);
         for (Target target : targets()) {
-            int router = Integer.parseInt(keepers.get(target.name()).name().substring(1));
+            int router = Integer.parseInt(coordinators.get(target.name()).name().substring(1));
             assertThat("domain" + router % 3).isEqualTo(target.failureDomain());
         }
     }
 
     @Test
     void testOtherDomainsKeepTheTargetsOfAnEmptyOne() {
-        List<KeeperCandidate> one = List.of(new KeeperCandidate("r0", 1, "domain0"));
-        assertThat(KeeperAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
+        List<CoordinatorCandidate> one = List.of(new CoordinatorCandidate("r0", 1, "domain0"));
+        assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
     }
 
     @Test
     void testNobodyKeepsWithoutCandidates() {
-        assertThat(KeeperAssignment.INSTANCE.assign(targets(), List.of())).isEmpty();
+        assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), List.of())).isEmpty();
     }
 
     @Property(tries = 30, seed = "1")
     void testOnlyTargetsOfTheLeaverChangeTheirKeeper(
             @ForAll @IntRange(min = 6, max = 40) int routers,
             @ForAll @IntRange(max = 5) int leaver) {
-        Map<String, KeeperReference> before = assign(routers);
-        List<KeeperCandidate> rest = candidates(routers);
+        Map<String, CoordinatorReference> before = assign(routers);
+        List<CoordinatorCandidate> rest = candidates(routers);
         rest.remove(leaver);
-        Map<String, KeeperReference> after = KeeperAssignment.INSTANCE.assign(targets(), rest);
+        Map<String, CoordinatorReference> after =
+                CoordinatorAssignment.INSTANCE.assign(targets(), rest);
         before.forEach(
-                (target, keeper) -> {
-                    if (!keeper.name().equals("r" + leaver)) {
-                        assertThat(after.get(target)).isEqualTo(keeper);
+                (target, coordinator) -> {
+                    if (!coordinator.name().equals("r" + leaver)) {
+                        assertThat(after.get(target)).isEqualTo(coordinator);
                     }
                 });
     }
 
-    private static Map<String, KeeperReference> assign(int routers) {
-        return KeeperAssignment.INSTANCE.assign(targets(), candidates(routers));
+    private static Map<String, CoordinatorReference> assign(int routers) {
+        return CoordinatorAssignment.INSTANCE.assign(targets(), candidates(routers));
     }
 
-    private static List<KeeperCandidate> candidates(int routers) {
-        List<KeeperCandidate> candidates = new ArrayList<>();
+    private static List<CoordinatorCandidate> candidates(int routers) {
+        List<CoordinatorCandidate> candidates = new ArrayList<>();
         for (int index = 0; index < routers; index++) {
-            candidates.add(new KeeperCandidate("r" + index, 1, "domain" + index % 3));
+            candidates.add(new CoordinatorCandidate("r" + index, 1, "domain" + index % 3));
         }
         return candidates;
     }
