--- a/src/main/java/org/martenwell/exchange/AnswerFailure.java
+++ b/src/main/java/org/martenwell/exchange/AnswerFailure.java
@@ -1,49 +1,49 @@
 package org.martenwell.exchange;
 
-/** Why an answer did not arrive whole. */
+/**
+ * The reasons for which a request to a target received no complete response. The names of the
+ * constants appear in log lines.
+ */
 public enum AnswerFailure {
 
-    /** No connection came up, so that the request was not sent. */
+    /** Connecting timed out or the address is unreachable; nothing was sent. */
     NOT_CONNECTED(false),
 
-    /** Nothing listens at the target's address, so that the request was not sent. */
+    /** The connection was refused because nothing listens at the address; nothing was sent. */
     REFUSED(false),
 
-    /** The connection ended before an answer began. */
+    /** The connection closed before a response head arrived. */
     NO_ANSWER(true),
 
-    /** The connection ended within the answer. */
+    /** The connection closed or the framing broke after the response head and before its end. */
     BROKEN_OFF(true),
 
-    /** The bytes are no answer. */
+    /** The bytes received are not an HTTP response. */
     MALFORMED(true);
 
-    /** Whether the request may have run. */
     private final boolean sent;
 
     /**
      * Creates a failure.
      *
-     * @param sent Whether the request may have run.
+     * @param sent {@code true} if the target may have processed the request.
      */
     AnswerFailure(boolean sent) {
         this.sent = sent;
     }
 
     /**
-     * Returns the failure of a connection that did not come up.
+     * Maps a failed connection attempt to a failure.
      *
-     * @param reach What came of opening it.
-     * @return The failure.
+     * @param reach The outcome of the attempt, other than {@link Reach#ACCEPTED}.
+     * @return {@link #REFUSED} or {@link #NOT_CONNECTED}.
      */
     static AnswerFailure of(Reach reach) {
         return reach == Reach.REFUSED ? REFUSED : NOT_CONNECTED;
     }
 
     /**
-     * Returns whether the request may have run.
-     *
-     * @return {@code true} if bytes of it were sent.
+     * {@return {@code true} if bytes of the request may have been sent, so that it may have run}
      */
     public boolean sent() {
         return sent;
--- a/src/main/java/org/martenwell/exchange/AnswerListener.java
+++ b/src/main/java/org/martenwell/exchange/AnswerListener.java
@@ -3,39 +3,41 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Is told of the answer to one request. After {@link #ended} or {@link #failed} nothing follows.
+ * Receives the response to one request, on the event loop. {@link #ended} or {@link #failed} is the
+ * last call; neither is called once the connection is cancelled.
  */
 public interface AnswerListener {
 
     /**
-     * Tells whether an answer belongs to the request. Others are dropped, and the next is awaited.
+     * Decides whether a response matches the request. A response that doesn't is discarded, and the
+     * next one on the connection is awaited.
      *
-     * @param head The answer's head.
-     * @return {@code true} if it belongs to the request.
+     * @param head The response head.
+     * @return {@code true} if the response matches.
      */
     boolean belongs(HttpResponse head);
 
     /**
-     * Takes the head.
+     * Called with the head of the matching response.
      *
-     * @param head The head.
+     * @param head The response head.
      */
     void begun(HttpResponse head);
 
     /**
-     * Takes a piece of the body.
+     * Called for each non-empty piece of the response body.
      *
-     * @param piece The piece.
+     * @param piece The bytes, owned by the listener.
      */
     void received(byte[] piece);
 
-    /** Notes that the whole answer arrived. */
+    /** Called once the complete response has arrived. */
     void ended();
 
     /**
-     * Notes that the answer can't arrive whole.
+     * Called when no complete response can arrive any more.
      *
-     * @param failure What happened.
+     * @param failure The reason.
      */
     void failed(AnswerFailure failure);
 }
--- a/src/main/java/org/martenwell/exchange/Body.java
+++ b/src/main/java/org/martenwell/exchange/Body.java
@@ -2,48 +2,37 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The bytes of a message's body. They are not copied, so nobody may change them. */
+/**
+ * The immutable body of an HTTP message. The array is shared, not copied, so neither the creator
+ * nor a reader may modify it.
+ */
 public final class Body {
 
-    /** No body. */
+    /** The empty body. */
     public static final Body EMPTY = new Body(new byte[0]);
 
-    /** The bytes. */
     private final byte[] bytes;
 
-    /**
-     * Creates a body.
-     *
-     * @param bytes The bytes.
-     */
     private Body(byte[] bytes) {
         this.bytes = bytes;
     }
 
     /**
-     * Creates a body.
+     * Wraps a byte array.
      *
-     * @param bytes The bytes, which must not change any more.
-     * @return The body.
+     * @param bytes The array, which must not be modified afterwards.
+     * @return The body; {@link #EMPTY} for an empty array.
      */
     public static Body of(byte[] bytes) {
         return bytes.length == 0 ? EMPTY : new Body(bytes);
     }
 
-    /**
-     * Returns the bytes.
-     *
-     * @return The bytes, not copied.
-     */
+    /** {@return the shared array, not a copy} */
     public byte[] bytes() {
         return bytes;
     }
 
-    /**
-     * Returns the size.
-     *
-     * @return The number of bytes.
-     */
+    /** {@return the size in bytes} */
     public int length() {
         return bytes.length;
     }
--- a/src/main/java/org/martenwell/exchange/CallerConnection.java
+++ b/src/main/java/org/martenwell/exchange/CallerConnection.java
@@ -30,300 +30,274 @@
 import java.util.Deque;
 
 /**
- * A caller's connection. It serves one request at a time and keeps reading meanwhile, so that a
- * caller who leaves is noticed at once.
+ * A connection from a caller. It serves one request at a time but keeps reading while a request is
+ * served, so that a disconnect of the caller is detected immediately.
  */
 final class CallerConnection {
 
-    /** How many pipelined bytes are taken in while a request is served. */
+    /**
+     * The number of bytes received during a request above which reading pauses until its response
+     * is sent.
+     */
     private static final int MAX_PIPELINED_BYTES = 65_536;
 
-    /** How long a closing connection waits for the caller to read and close, in milliseconds. */
-    private static final long LINGER_MILLIS = 1_000;
+    /**
+     * The time after which a connection in graceful close is closed even if the caller hasn't
+     * closed it.
+     */
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
-    /** The answer that lets a caller send its body. */
-    private static final byte[] CONTINUE =
+    /** The interim response to a request with {@code Expect: 100-continue}. */
+    private static final byte[] CONTINUE_RESPONSE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The socket. */
     private final ITcpSocket socket;
 
-    /** The server. */
     private final CallerServer server;
 
-    /** Decodes requests and encodes answers. */
     private final EmbeddedChannel codec;
 
-    /** Finds folded header lines. */
-    private final FoldedLineCheck foldedLines = new FoldedLineCheck();
+    private final ObsoleteFoldDetector foldDetector = new ObsoleteFoldDetector();
 
-    /** What was decoded while a request was served. */
-    private final Deque<HttpObject> waiting = new ArrayDeque<>();
+    /** Message parts that are decoded but not processed because a request is being served. */
+    private final Deque<HttpObject> decodedParts = new ArrayDeque<>();
 
-    /** The body that is arriving. */
     private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-    /** The head whose body is arriving or {@code null}. */
+    /** The head of the request whose body is arriving, or {@code null}. */
     private HttpRequest head;
 
-    /** The exchange that is served or {@code null}. */
+    /** The exchange being served, or {@code null}. */
     private CallerExchange exchange;
 
-    /** When the present request's first byte arrived or, while idle, when the last one ended. */
-    private long sinceMillis;
+    /**
+     * The arrival of the current request's first byte or, while idle, the end of the last request.
+     */
+    private long stateSinceMillis;
 
-    /** Whether bytes of a request arrived that is not whole yet. */
+    /** Set while a request has arrived in part. */
     private boolean receiving;
 
-    /** How many bytes are pipelined. */
     private int pipelinedBytes;
 
-    /** How many bytes of answers wait to be written. */
+    /** Response bytes handed to the socket whose write hasn't completed. */
     private int unwrittenBytes;
 
-    /** Whether nothing more is taken from the caller. */
+    /** Set once further input is discarded. */
     private boolean closing;
 
-    /** Whether the socket is closed. */
     private boolean closed;
 
     /**
-     * Creates a connection.
+     * Creates a connection. No data is read before {@link #start}.
      *
-     * @param reactor The loop.
-     * @param socket The socket.
-     * @param server The server.
+     * @param reactor The event loop.
+     * @param socket The accepted socket.
+     * @param server The server that owns the connection and handles its requests.
      */
     CallerConnection(NioReactor reactor, ITcpSocket socket, CallerServer server) {
         this.reactor = reactor;
         this.socket = socket;
         this.server = server;
-        this.codec = CodecChannels.ofCaller(server.limits().maxHeaderBytes());
-        this.sinceMillis = reactor.currentTimeMillis();
+        this.codec = CodecChannels.forCaller(server.limits().maxHeaderBytes());
+        this.stateSinceMillis = reactor.currentTimeMillis();
     }
 
-    /** Starts to read. */
+    /** Starts reading. */
     void start() {
         read();
     }
 
-    /**
-     * Returns how many bytes of answers wait to be written.
-     *
-     * @return The number of bytes.
-     */
+    /** {@return the number of response bytes that are not yet written to the socket} */
     int unwrittenBytes() {
         return unwrittenBytes;
     }
 
-    /**
-     * Returns whether no request is served or arriving.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if no request is being received or served} */
     boolean idle() {
         return exchange == null && !receiving;
     }
 
     /**
-     * Returns whether no request has been served for some time.
+     * Checks for a minimum idle time.
      *
-     * @param millis The time before which the connection must have become idle, in milliseconds.
-     * @return {@code true} if it is idle and has been since then.
+     * @param millis The time on the event loop's clock, in milliseconds.
+     * @return {@code true} if the connection has been idle since this time or longer.
      */
     boolean idleSince(long millis) {
-        return idle() && sinceMillis <= millis;
+        return idle() && stateSinceMillis <= millis;
     }
 
     /**
-     * Closes the connection if it exceeds its time.
+     * Closes the connection if it exceeds the header timeout while it receives a request, or the
+     * idle timeout between requests. A request being served has no limit here.
      *
-     * @param nowMillis The present time, in milliseconds.
+     * @param nowMillis The current time on the event loop's clock, in milliseconds.
      */
-    void expire(long nowMillis) {
+    void closeIfTimedOut(long nowMillis) {
         if (exchange != null || closing) {
             return;
         }
         ConnectionLimits limits = server.limits();
         long allowed = receiving ? limits.headerTimeoutMillis() : limits.idleTimeoutMillis();
-        if (nowMillis - sinceMillis > allowed) {
+        if (nowMillis - stateSinceMillis > allowed) {
             abort();
         }
     }
 
     /**
-     * Sends a whole answer.
+     * Sends a complete response. The body is omitted if the request's method is {@code HEAD}.
      *
-     * @param status The status.
-     * @param headers The headers.
+     * @param status The status code.
+     * @param headers The headers, to which framing and connection headers are added.
      * @param content The body.
-     * @param keepAlive Whether the caller wants to go on.
+     * @param keepAlive {@code true} if the caller allows a persistent connection.
      */
     void respond(int status, HttpHeaders headers, byte[] content, boolean keepAlive) {
-        boolean kept = keepAlive && !server.draining();
+        boolean persistent = keepAlive && !server.draining();
         headers.set(HttpHeaderNames.CONTENT_LENGTH, content.length);
-        setConnection(headers, kept);
-        boolean bodyless = exchange.request().method().name().equals("HEAD");
+        setConnectionHeader(headers, persistent);
+        boolean omitBody = exchange.request().method().name().equals("HEAD");
         send(
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
                         HttpResponseStatus.valueOf(status),
-                        bodyless ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(content),
+                        omitBody ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(content),
                         headers,
                         DefaultHttpHeadersFactory.trailersFactory().newHeaders()));
-        served(kept);
+        finishRequest(persistent);
     }
 
     /**
-     * Sends the head of an answer of unknown length.
+     * Sends the head of a chunked response.
      *
-     * @param status The status.
-     * @param headers The headers.
-     * @param keepAlive Whether the caller wants to go on.
+     * @param status The status code.
+     * @param headers The headers, whose framing and connection headers are replaced.
+     * @param keepAlive {@code true} if the caller allows a persistent connection.
      */
     void begin(int status, HttpHeaders headers, boolean keepAlive) {
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
         headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        setConnection(headers, keepAlive && !server.draining());
+        setConnectionHeader(headers, keepAlive && !server.draining());
         send(
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers));
     }
 
     /**
-     * Sends a piece of an answer.
+     * Sends one chunk of a response.
      *
-     * @param piece The piece.
+     * @param piece The non-empty content of the chunk.
      */
     void write(byte[] piece) {
         send(new DefaultHttpContent(Unpooled.wrappedBuffer(piece)));
     }
 
     /**
-     * Ends an answer.
+     * Sends the last chunk of a response.
      *
-     * @param keepAlive Whether the caller wants to go on.
+     * @param keepAlive {@code true} if the caller allows a persistent connection.
      */
     void end(boolean keepAlive) {
         send(LastHttpContent.EMPTY_LAST_CONTENT);
-        served(keepAlive && !server.draining());
+        finishRequest(keepAlive && !server.draining());
     }
 
-    /** Closes the connection at once. */
+    /**
+     * Closes the connection at once, without a complete response and without notifying the
+     * exchange.
+     */
     void abort() {
         exchange = null;
         close();
     }
 
-    /**
-     * Says whether the connection goes on.
-     *
-     * @param headers The answer's headers.
-     * @param kept Whether it goes on.
-     */
-    private static void setConnection(HttpHeaders headers, boolean kept) {
+    private static void setConnectionHeader(HttpHeaders headers, boolean persistent) {
         headers.remove(HttpHeaderNames.CONNECTION);
-        if (!kept) {
+        if (!persistent) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
     }
 
-    /** Reads on unless too much is pipelined. */
     private void read() {
         socket.read()
                 .subscribe(
                         (bytes, failure) -> {
                             if (failure != null || bytes == null) {
-                                ended();
+                                disconnected();
                             } else {
-                                received(bytes);
+                                processBytes(bytes);
                             }
                         });
     }
 
-    /**
-     * Takes in bytes.
-     *
-     * @param bytes The bytes.
-     */
-    private void received(ByteBuf bytes) {
+    private void processBytes(ByteBuf bytes) {
         if (closing) {
             bytes.recycle();
-            readOn();
+            continueReading();
             return;
         }
         if (idle()) {
             receiving = true;
-            sinceMillis = reactor.currentTimeMillis();
+            stateSinceMillis = reactor.currentTimeMillis();
         }
         if (exchange != null) {
             pipelinedBytes += bytes.readRemaining();
-        } else if (foldedLines.folded(bytes.array(), bytes.head(), bytes.readRemaining())) {
+        } else if (foldDetector.containsFold(bytes.array(), bytes.head(), bytes.readRemaining())) {
             bytes.recycle();
-            refuse(HttpResponseStatus.BAD_REQUEST);
+            rejectRequest(HttpResponseStatus.BAD_REQUEST);
             return;
         }
         CodecChannels.decode(codec, bytes);
         for (HttpObject each = codec.readInbound(); each != null; each = codec.readInbound()) {
-            waiting.add(each);
+            decodedParts.add(each);
         }
-        takeWaiting();
-        readOn();
+        processDecodedParts();
+        continueReading();
     }
 
-    /** Reads on if the connection is still open. */
-    private void readOn() {
+    /** Reads on unless the limit of pipelined bytes is exceeded. */
+    private void continueReading() {
         if (!closed && pipelinedBytes <= MAX_PIPELINED_BYTES) {
             read();
         }
     }
 
-    /** Takes what was decoded until a request is whole. */
-    private void takeWaiting() {
-        while (exchange == null && !closing && !waiting.isEmpty()) {
-            HttpObject next = waiting.poll();
+    /** Processes decoded parts until a request is complete and handed to the server. */
+    private void processDecodedParts() {
+        while (exchange == null && !closing && !decodedParts.isEmpty()) {
+            HttpObject next = decodedParts.poll();
             try {
-                take(next);
+                processPart(next);
             } finally {
                 ReferenceCountUtil.release(next);
             }
         }
     }
 
-    /**
-     * Takes one part of a request.
-     *
-     * @param part The part.
-     */
-    private void take(HttpObject part) {
+    private void processPart(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            refuse(statusOf(part.decoderResult().cause()));
+            rejectRequest(statusOf(part.decoderResult().cause()));
             return;
         }
-        if (part instanceof HttpRequest begun) {
-            head = begun;
+        if (part instanceof HttpRequest requestHead) {
+            head = requestHead;
             receiving = true;
             body.reset();
-            if (HttpUtil.is100ContinueExpected(begun)) {
-                writeBytes(ByteBuf.wrapForReading(CONTINUE.clone()));
+            if (HttpUtil.is100ContinueExpected(requestHead)) {
+                writeBytes(ByteBuf.wrapForReading(CONTINUE_RESPONSE.clone()));
             }
         }
         if (part instanceof HttpContent content && head != null) {
-            takeContent(content);
+            appendContent(content);
         }
     }
 
-    /**
-     * Takes a piece of a body.
-     *
-     * @param content The piece.
-     */
-    private void takeContent(HttpContent content) {
+    private void appendContent(HttpContent content) {
         if (body.size() + content.content().readableBytes() > server.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            rejectRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
         byte[] piece = new byte[content.content().readableBytes()];
@@ -336,22 +310,23 @@
                             head.uri(),
                             head.headers(),
                             Body.of(body.toByteArray()),
-                            sinceMillis);
+                            stateSinceMillis);
             exchange = new CallerExchange(this, request, HttpUtil.isKeepAlive(head));
             head = null;
             receiving = false;
-            // A buffer that was kept held 15 KB for each resting connection behind a body of 12 KB.
+            // A new buffer, since reset() would keep the grown array for as long as the connection
+            // is idle.
             body = new ByteArrayOutputStream();
-            foldedLines.reset();
+            foldDetector.reset();
             server.handle(exchange);
         }
     }
 
     /**
-     * Finds the status for a request that can't be read.
+     * Maps a decoder failure to a response status.
      *
-     * @param cause Why it can't be read.
-     * @return The status.
+     * @param cause The exception of the decoder.
+     * @return The status: 431 for an excessive head, else 400.
      */
     private static HttpResponseStatus statusOf(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException
@@ -362,14 +337,15 @@
     }
 
     /**
-     * Refuses what can't be read and closes the connection.
+     * Responds to a request that can't be processed and closes the connection, since the position
+     * of the next request is unknown.
      *
-     * @param status The status.
+     * @param status The status of the empty response.
      */
-    private void refuse(HttpResponseStatus status) {
+    private void rejectRequest(HttpResponseStatus status) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.CONTENT_LENGTH, 0);
-        setConnection(headers, false);
+        setConnectionHeader(headers, false);
         send(
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
@@ -377,47 +353,37 @@
                         Unpooled.EMPTY_BUFFER,
                         headers,
                         DefaultHttpHeadersFactory.trailersFactory().newHeaders()));
-        served(false);
-        readOn();
+        finishRequest(false);
+        continueReading();
     }
 
     /**
-     * Goes on behind an answer.
+     * Prepares for the next request after a response, or starts a graceful close.
      *
-     * @param kept Whether the connection goes on.
+     * @param persistent {@code true} if the connection stays open.
      */
-    private void served(boolean kept) {
+    private void finishRequest(boolean persistent) {
         exchange = null;
         receiving = false;
-        sinceMillis = reactor.currentTimeMillis();
-        if (!kept) {
-            linger();
+        stateSinceMillis = reactor.currentTimeMillis();
+        if (!persistent) {
+            closeGracefully();
             return;
         }
         boolean paused = pipelinedBytes > MAX_PIPELINED_BYTES;
         pipelinedBytes = 0;
-        if (!waiting.isEmpty()) {
-            reactor.postLast(this::takeWaiting);
+        if (!decodedParts.isEmpty()) {
+            reactor.postLast(this::processDecodedParts);
         }
         if (paused) {
             read();
         }
     }
 
-    /**
-     * Sends a message.
-     *
-     * @param message The message.
-     */
     private void send(Object message) {
         writeBytes(CodecChannels.encode(codec, message));
     }
 
-    /**
-     * Writes bytes.
-     *
-     * @param bytes The bytes.
-     */
     private void writeBytes(ByteBuf bytes) {
         if (closed) {
             bytes.recycle();
@@ -430,24 +396,26 @@
                         (ignored, failure) -> {
                             unwrittenBytes -= length;
                             if (failure != null) {
-                                ended();
+                                disconnected();
                             } else if (closing && unwrittenBytes == 0) {
-                                shutOutput();
+                                closeOutput();
                             }
                         });
     }
 
-    /** Ends the connection once the caller has read the last answer. */
-    private void linger() {
+    /**
+     * Half-closes the connection after pending writes and discards input, so that the caller can
+     * read the last response without a reset.
+     */
+    private void closeGracefully() {
         closing = true;
-        reactor.delayBackground(LINGER_MILLIS, this::close);
+        reactor.delayBackground(CLOSE_TIMEOUT_MILLIS, this::close);
         if (unwrittenBytes == 0) {
-            shutOutput();
+            closeOutput();
         }
     }
 
-    /** Tells the caller that nothing more comes. */
-    private void shutOutput() {
+    private void closeOutput() {
         if (!closed && socket instanceof TcpSocket tcp) {
             try {
                 tcp.getSocketChannel().shutdownOutput();
@@ -457,23 +425,22 @@
         }
     }
 
-    /** Notes that the caller closed or reset the connection. */
-    private void ended() {
-        CallerExchange left = exchange;
+    /** Handles the end of input or a socket failure, and notifies the exchange being served. */
+    private void disconnected() {
+        CallerExchange abandoned = exchange;
         exchange = null;
         close();
-        if (left != null) {
-            left.left();
+        if (abandoned != null) {
+            abandoned.callerDisconnected();
         }
     }
 
-    /** Closes the socket. */
     private void close() {
         if (!closed) {
             closed = true;
             closing = true;
-            waiting.forEach(ReferenceCountUtil::release);
-            waiting.clear();
+            decodedParts.forEach(ReferenceCountUtil::release);
+            decodedParts.clear();
             socket.close();
             codec.finishAndReleaseAll();
             server.closed(this);
--- a/src/main/java/org/martenwell/exchange/CallerExchange.java
+++ b/src/main/java/org/martenwell/exchange/CallerExchange.java
@@ -3,35 +3,32 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * One request of a caller and its answer. An answer is given whole by {@link #respond} or in pieces
- * by {@link #begin}, {@link #write} and {@link #end}. Calls after the caller left do nothing.
+ * One request of a caller and its response. A response is sent complete by {@link #respond}, or in
+ * chunks by {@link #begin}, {@link #write} and {@link #end}. Calls after the exchange has finished
+ * have no effect.
  */
 public final class CallerExchange {
 
-    /** The connection. */
     private final CallerConnection connection;
 
-    /** The request. */
     private final CallerRequest request;
 
-    /** Whether the caller wants to go on using the connection. */
     private final boolean keepAlive;
 
-    /** What to do once the caller left. */
-    private Runnable leaveListener = () -> {};
+    private Runnable disconnectListener = () -> {};
 
-    /** Whether the answer's head was sent. */
+    /** Set once the response head is sent. */
     private boolean begun;
 
-    /** Whether the exchange is over. */
+    /** Set once the exchange is responded to, aborted or abandoned by the caller. */
     private boolean finished;
 
     /**
      * Creates an exchange.
      *
-     * @param connection The connection.
-     * @param request The request.
-     * @param keepAlive Whether the caller wants to go on using the connection.
+     * @param connection The connection on which the request arrived.
+     * @param request The complete request.
+     * @param keepAlive {@code true} if the caller allows a persistent connection.
      */
     CallerExchange(CallerConnection connection, CallerRequest request, boolean keepAlive) {
         this.connection = connection;
@@ -39,55 +36,44 @@
         this.keepAlive = keepAlive;
     }
 
-    /**
-     * Returns the request.
-     *
-     * @return The request.
-     */
+    /** {@return the request} */
     public CallerRequest request() {
         return request;
     }
 
-    /**
-     * Returns whether an answer's head was sent.
-     *
-     * @return {@code true} once it was sent.
-     */
+    /** {@return {@code true} once the response head is sent} */
     public boolean begun() {
         return begun;
     }
 
     /**
-     * Returns whether the exchange is over.
-     *
-     * @return {@code true} once it is answered, aborted or left.
+     * {@return {@code true} once the response is complete, the exchange aborted or the caller gone}
      */
     public boolean finished() {
         return finished;
     }
 
     /**
-     * Returns how many bytes of the answer wait for the caller to read.
-     *
-     * @return The number of bytes.
+     * {@return the number of response bytes that are not yet written to the socket, as when the
+     * caller reads slowly}
      */
     public int unreadBytes() {
         return connection.unwrittenBytes();
     }
 
     /**
-     * Sets what to do once the caller left before the answer's end.
+     * Sets the action for a caller that disconnects before the response is complete.
      *
-     * @param listener Called at most once.
+     * @param listener Called at most once, on the event loop.
      */
     public void onLeave(Runnable listener) {
-        leaveListener = listener;
+        disconnectListener = listener;
     }
 
     /**
-     * Answers whole.
+     * Sends a complete response.
      *
-     * @param status The status.
+     * @param status The status code.
      * @param headers The headers, without those that frame the body.
      * @param body The body.
      */
@@ -101,9 +87,9 @@
     }
 
     /**
-     * Begins an answer whose length is not known.
+     * Sends the head of a response of unknown length.
      *
-     * @param status The status.
+     * @param status The status code.
      * @param headers The headers, without those that frame the body.
      */
     public void begin(int status, HttpHeaders headers) {
@@ -115,9 +101,9 @@
     }
 
     /**
-     * Sends a piece of an answer that was begun.
+     * Sends a piece of the response body after {@link #begin}. An empty piece is ignored.
      *
-     * @param piece The piece.
+     * @param piece The bytes, which are copied.
      */
     public void write(byte[] piece) {
         if (!finished && piece.length > 0) {
@@ -125,7 +111,7 @@
         }
     }
 
-    /** Ends an answer that was begun. */
+    /** Completes a response after {@link #begin}. */
     public void end() {
         if (!finished) {
             finished = true;
@@ -133,7 +119,9 @@
         }
     }
 
-    /** Closes the connection, so that the answer does not look whole. */
+    /**
+     * Closes the connection without the last chunk, so that the caller sees an incomplete response.
+     */
     public void abort() {
         if (!finished) {
             finished = true;
@@ -141,11 +129,11 @@
         }
     }
 
-    /** Notes that the caller left. */
-    void left() {
+    /** Called by the connection when the caller disconnects before the response is complete. */
+    void callerDisconnected() {
         if (!finished) {
             finished = true;
-            leaveListener.run();
+            disconnectListener.run();
         }
     }
 }
--- a/src/main/java/org/martenwell/exchange/CallerServer.java
+++ b/src/main/java/org/martenwell/exchange/CallerServer.java
@@ -10,42 +10,39 @@
 import org.martenwell.service.Listening;
 import org.martenwell.service.ManagedService;
 
-/** Takes callers' connections. */
+/**
+ * The HTTP server for callers. It accepts connections, enforces their limits and passes complete
+ * requests to a handler.@@ long MIN_IDLE_MILLIS = The minimum idle time, in milliseconds, after
+ * which {@link #closeIdle} closes a connection.
+ */
 public final class CallerServer implements ManagedService {
 
-    /** How long a connection must have rested to be closed in a stop, in milliseconds. */
-    private static final long LEAST_REST_MILLIS = 300;
+    private static final long MIN_IDLE_MILLIS = 300;
 
-    /** How often the time limits of connections are checked, in milliseconds. */
-    private static final long CHECK_MILLIS = 200;
+    /** The interval between timeout checks of all connections, in milliseconds. */
+    private static final long TIMEOUT_CHECK_MILLIS = 200;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Serves requests. */
     private final RequestHandler handler;
 
-    /** The server. */
     private final SimpleServer server;
 
-    /** The open connections. */
     private final Set<CallerConnection> connections = new HashSet<>();
 
-    /** The limits in force. */
     private ConnectionLimits limits = ConnectionLimits.DEFAULTS;
 
-    /** Whether connections end behind the request that is served. */
+    /** Set once each connection closes after its current request. */
     private boolean draining;
 
-    /** Whether the server was stopped. */
     private boolean stopped;
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server that doesn't listen before {@link #start}.
      *
-     * @param reactor The loop.
-     * @param address Where to listen.
-     * @param handler Serves requests.
+     * @param reactor The event loop.
+     * @param address The address to listen on.
+     * @param handler Receives each complete request.
      */
     public CallerServer(NioReactor reactor, InetSocketAddress address, RequestHandler handler) {
         this.reactor = reactor;
@@ -56,7 +53,7 @@
 
     @Override
     public Promise<Void> start() {
-        reactor.delayBackground(CHECK_MILLIS, this::expire);
+        reactor.delayBackground(TIMEOUT_CHECK_MILLIS, this::checkTimeouts);
         return Listening.start(server);
     }
 
@@ -68,65 +65,56 @@
     }
 
     /**
-     * Changes the limits.
+     * Replaces the limits of connections.
      *
-     * @param changed The limits; the largest head counts for new connections.
+     * @param changed The new limits; the maximum header size applies to new connections only.
      */
     public void limit(ConnectionLimits changed) {
         limits = changed;
     }
 
-    /** Lets each connection end behind the request that is served on it. */
+    /** Closes each connection after the request that is served on it, or after its next one. */
     public void drain() {
         draining = true;
     }
 
-    /** Closes the connections that have rested; one that was just opened may bring its request. */
+    /**
+     * Closes connections that have been idle for a minimum time. Newer ones stay, since a request
+     * may be on its way.
+     */
     public void closeIdle() {
-        long before = reactor.currentTimeMillis() - LEAST_REST_MILLIS;
+        long before = reactor.currentTimeMillis() - MIN_IDLE_MILLIS;
         Set.copyOf(connections).stream()
                 .filter(each -> each.idleSince(before))
                 .forEach(CallerConnection::abort);
     }
 
-    /**
-     * Returns how many connections are open.
-     *
-     * @return The number of connections.
-     */
+    /** {@return the number of open connections} */
     public int connections() {
         return connections.size();
     }
 
-    /**
-     * Returns the limits in force.
-     *
-     * @return The limits.
-     */
+    /** {@return the limits in force} */
     ConnectionLimits limits() {
         return limits;
     }
 
-    /**
-     * Returns whether connections end behind the request that is served.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if connections close after their current request} */
     boolean draining() {
         return draining;
     }
 
     /**
-     * Serves a request.
+     * Passes a complete request to the handler.
      *
-     * @param exchange The request.
+     * @param exchange The request and its pending response.
      */
     void handle(CallerExchange exchange) {
         handler.handle(exchange);
     }
 
     /**
-     * Forgets a connection.
+     * Removes a connection that has closed.
      *
      * @param connection The connection.
      */
@@ -134,24 +122,18 @@
         connections.remove(connection);
     }
 
-    /**
-     * Takes a connection.
-     *
-     * @param socket The socket.
-     */
     private void accepted(ITcpSocket socket) {
         CallerConnection connection = new CallerConnection(reactor, socket, this);
         connections.add(connection);
         connection.start();
     }
 
-    /** Closes connections that exceed their time. */
-    private void expire() {
+    private void checkTimeouts() {
         if (stopped) {
             return;
         }
         long now = reactor.currentTimeMillis();
-        Set.copyOf(connections).forEach(each -> each.expire(now));
-        reactor.delayBackground(CHECK_MILLIS, this::expire);
+        Set.copyOf(connections).forEach(each -> each.closeIfTimedOut(now));
+        reactor.delayBackground(TIMEOUT_CHECK_MILLIS, this::checkTimeouts);
     }
 }
--- a/src/main/java/org/martenwell/exchange/CodecChannels.java
+++ b/src/main/java/org/martenwell/exchange/CodecChannels.java
@@ -9,66 +9,56 @@
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 
-/** Creates the codecs of connections and moves bytes in and out of them. */
+/**
+ * Creates Netty's HTTP codecs in embedded channels and converts between Netty's and ActiveJ's
+ * buffers.
+ */
 final class CodecChannels {
 
-    /** The longest first line of a message, in bytes. */
+    /** The maximum length of a request or status line. */
     private static final int MAX_LINE_BYTES = 8_192;
 
-    /** The largest head of an answer, in bytes. */
-    private static final int MAX_ANSWER_HEAD_BYTES = 65_536;
+    private static final int MAX_RESPONSE_HEAD_BYTES = 65_536;
 
-    /** The largest piece of a body that the codec hands out, in bytes. */
-    private static final int MAX_PIECE_BYTES = 65_536;
+    /** The maximum size of one decoded piece of a body. */
+    private static final int MAX_CHUNK_BYTES = 65_536;
 
-    /** The first size of the codec's line buffer, in bytes. */
-    private static final int LINE_BUFFER_BYTES = 256;
+    private static final int INITIAL_LINE_BUFFER_BYTES = 256;
 
-    /** Not instantiated. */
     private CodecChannels() {}
 
     /**
-     * Creates the codec of a caller's connection.
+     * Creates a codec for a caller's connection: decodes requests and encodes responses.
      *
-     * @param maxHeaderBytes The largest head, in bytes.
-     * @return The codec.
+     * @param maxHeaderBytes The maximum size of a request's headers.
+     * @return The codec, which the connection must release.
      */
-    static EmbeddedChannel ofCaller(int maxHeaderBytes) {
+    static EmbeddedChannel forCaller(int maxHeaderBytes) {
         return new EmbeddedChannel(
-                new HttpRequestDecoder(config(maxHeaderBytes)), new HttpResponseEncoder());
+                new HttpRequestDecoder(decoderConfig(maxHeaderBytes)), new HttpResponseEncoder());
     }
 
     /**
-     * Creates the codec of a target's connection.
+     * Creates a codec for a connection to a target: decodes responses and encodes requests.
      *
-     * @param decoder Decodes answers.
-     * @return The codec.
+     * @param decoder Decodes the responses.
+     * @return The codec, which the connection must release.
      */
-    static EmbeddedChannel ofTarget(AnswerDecoder decoder) {
+    static EmbeddedChannel forTarget(ResponseDecoder decoder) {
         return new EmbeddedChannel(decoder, new HttpRequestEncoder());
     }
 
-    /**
-     * Returns the settings of a decoder of answers.
-     *
-     * @return The settings.
-     */
-    static HttpDecoderConfig answerConfig() {
-        return config(MAX_ANSWER_HEAD_BYTES);
+    /** {@return the configuration of response decoders} */
+    static HttpDecoderConfig responseConfig() {
+        return decoderConfig(MAX_RESPONSE_HEAD_BYTES);
     }
 
-    /**
-     * Returns the settings of a decoder.
-     *
-     * @param maxHeaderBytes The largest head, in bytes.
-     * @return The settings.
-     */
-    private static HttpDecoderConfig config(int maxHeaderBytes) {
+    private static HttpDecoderConfig decoderConfig(int maxHeaderBytes) {
         return new HttpDecoderConfig()
                 .setMaxInitialLineLength(MAX_LINE_BYTES)
                 .setMaxHeaderSize(maxHeaderBytes)
-                .setMaxChunkSize(MAX_PIECE_BYTES)
-                .setInitialBufferSize(LINE_BUFFER_BYTES)
+                .setMaxChunkSize(MAX_CHUNK_BYTES)
+                .setInitialBufferSize(INITIAL_LINE_BUFFER_BYTES)
                 .setValidateHeaders(true);
     }
 
@@ -76,8 +66,8 @@
      * Encodes messages.
      *
      * @param codec The codec.
-     * @param messages The messages.
-     * @return Their bytes, owned by the caller.
+     * @param messages The messages, which are released.
+     * @return The encoded bytes; the receiver must recycle them.
      */
     static io.activej.bytebuf.ByteBuf encode(EmbeddedChannel codec, Object... messages) {
         codec.writeOutbound(messages);
@@ -96,10 +86,10 @@
     }
 
     /**
-     * Hands bytes to a decoder.
+     * Passes received bytes to a decoder, whose results are read by {@code readInbound}.
      *
      * @param codec The codec.
-     * @param bytes The bytes, which this method frees.
+     * @param bytes The bytes, which are recycled.
      */
     static void decode(EmbeddedChannel codec, io.activej.bytebuf.ByteBuf bytes) {
         byte[] copy = bytes.asArray();
--- a/src/main/java/org/martenwell/exchange/ConnectionLimits.java
+++ b/src/main/java/org/martenwell/exchange/ConnectionLimits.java
@@ -1,17 +1,18 @@
 package org.martenwell.exchange;
 
 /**
- * Bounds what callers may send and how long their connections may rest.
+ * The limits on requests and connections of callers.
  *
- * @param maxHeaderBytes The largest request head, in bytes.
- * @param maxBodyBytes The largest request body, in bytes.
- * @param headerTimeoutMillis How long a head may take to arrive, in milliseconds.
- * @param idleTimeoutMillis How long a connection may rest between requests, in milliseconds.
+ * @param maxHeaderBytes The maximum size of a request's headers, in bytes.
+ * @param maxBodyBytes The maximum size of a request body, in bytes.
+ * @param headerTimeoutMillis The maximum time from a request's first byte to its last, in
+ *     milliseconds.
+ * @param idleTimeoutMillis The maximum idle time between requests, in milliseconds.
  */
 public record ConnectionLimits(
         int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
-    /** The limits while no configuration is known. */
+    /** The limits until a configuration is loaded. */
     public static final ConnectionLimits DEFAULTS =
             new ConnectionLimits(16_384, 4 << 20, 3_000, 15_000);
 }
--- a/src/main/java/org/martenwell/exchange/HttpCaller.java
+++ b/src/main/java/org/martenwell/exchange/HttpCaller.java
@@ -10,53 +10,55 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Makes calls of this program's own to one address. Each call ends within its time. */
+/**
+ * An HTTP client for this program's own requests to one address. Each call completes or fails
+ * within its timeout.
+ */
 public final class HttpCaller {
 
     /**
-     * How long opening a connection may take, in milliseconds. A lost packet is sent again after 1
-     * s, so a new attempt is faster than waiting for longer than a few round trips.
+     * The timeout of connecting, in milliseconds. It is below the initial TCP retransmission
+     * timeout of 1 s: after a lost packet a new attempt is faster.
      */
-    private static final long CONNECT_MILLIS = 400;
+    private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The connections. */
     private final TargetConnections connections;
 
     /**
-     * Creates a caller.
+     * Creates a client.
      *
-     * @param reactor The loop.
-     * @param address The address.
+     * @param reactor The event loop.
+     * @param address The server's address.
      */
     public HttpCaller(NioReactor reactor, InetSocketAddress address) {
-        this(reactor, address, AnswerHeadListener.NONE);
+        this(reactor, address, ResponseHeadListener.NONE);
     }
 
     /**
-     * Creates a caller.
+     * Creates a client whose response heads are observed.
      *
-     * @param reactor The loop.
-     * @param address The address.
-     * @param headListener Is told of each answer's head.
+     * @param reactor The event loop.
+     * @param address The server's address.
+     * @param headListener Receives the head of each response.
      */
     public HttpCaller(
-            NioReactor reactor, InetSocketAddress address, AnswerHeadListener headListener) {
+            NioReactor reactor, InetSocketAddress address, ResponseHeadListener headListener) {
         this.reactor = reactor;
         this.connections =
                 new TargetConnections(
-                        reactor, address, CONNECT_MILLIS, KeepAlive.PROBED, headListener);
+                        reactor, address, CONNECT_TIMEOUT_MILLIS, KeepAlive.PROBED, headListener);
     }
 
     /**
-     * Makes a call.
+     * Sends a request, over an idle connection if there is one.
      *
      * @param request The request.
-     * @param timeoutMillis How long the call may take, in milliseconds.
-     * @return The answer, or a failure of the kind {@link ErrorKind#PLATFORM_UNAVAILABLE}, after
-     *     which the call may have been done or not.
+     * @param timeoutMillis The timeout of the whole call, in milliseconds.
+     * @return The response of any status, or an exception of kind {@link
+     *     ErrorKind#PLATFORM_UNAVAILABLE}, after which the request may or may not have been
+     *     processed.
      */
     public Promise<HttpReply> call(TargetRequestHead request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, true);
@@ -65,66 +67,57 @@
     }
 
     /**
-     * Makes a call whose answer may take long. It goes over a connection of its own: a resting one
-     * that went silent would hold it for its whole time, since the system probes no connection on
-     * which bytes wait to be acknowledged.
+     * Sends a request over a new connection, for calls with a long timeout. An idle connection may
+     * be dead without a reset, and TCP sends no keep-alive probes while data awaits
+     * acknowledgement, so such a call would wait for its whole timeout.
      *
      * @param request The request.
-     * @param timeoutMillis How long the call may take, in milliseconds.
-     * @return The answer, or a failure as of {@link #call}.
+     * @param timeoutMillis The timeout of the whole call, in milliseconds.
+     * @return The response, or an exception as with {@link #call}.
      */
     public Promise<HttpReply> callOnNew(TargetRequestHead request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, false);
-        connections.sendOnNew(request, call, call::opened);
+        connections.sendOnNewConnection(request, call, call::opened);
         return call.result;
     }
 
     /**
-     * Begins a call.
+     * Creates a call and starts its timeout.
      *
-     * @param timeoutMillis How long it may take, in milliseconds.
-     * @param kept Whether its connection is kept for another call.
+     * @param timeoutMillis The timeout, in milliseconds.
+     * @param reuseConnection {@code true} to keep the connection for another call.
      * @return The call.
      */
-    private PendingCall begin(long timeoutMillis, boolean kept) {
-        PendingCall call = new PendingCall(kept);
-        call.timer = reactor.delayBackground(timeoutMillis, call::expired);
+    private PendingCall begin(long timeoutMillis, boolean reuseConnection) {
+        PendingCall call = new PendingCall(reuseConnection);
+        call.timer = reactor.delayBackground(timeoutMillis, call::timedOut);
         return call;
     }
 
-    /** Closes idle connections. */
+    /** Closes idle connections and keeps none open from now on. */
     public void close() {
         connections.close();
     }
 
-    /** A call whose answer is due. */
+    /** A call whose response is pending. */
     private final class PendingCall implements AnswerListener {
 
-        /** Whether the connection is kept for another call; else it ends with this one. */
-        private final boolean kept;
+        /** {@code false} if the connection closes after this call. */
+        private final boolean reuseConnection;
 
-        /** The answer. */
         private final SettablePromise<HttpReply> result = new SettablePromise<>();
 
-        /** The body. */
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-        /** Ends the call. */
         private ScheduledRunnable timer;
 
-        /** The connection or {@code null} while it opens. */
+        /** The connection, or {@code null} while it is being opened. */
         private TargetConnection connection;
 
-        /** The status. */
         private int status;
 
-        /**
-         * Creates a call.
-         *
-         * @param kept Whether its connection is kept for another call.
-         */
-        private PendingCall(boolean kept) {
-            this.kept = kept;
+        private PendingCall(boolean reuseConnection) {
+            this.reuseConnection = reuseConnection;
         }
 
         @Override
@@ -145,7 +138,7 @@
         @Override
         public void ended() {
             timer.cancel();
-            if (kept) {
+            if (reuseConnection) {
                 connections.keep(connection, 0);
             } else {
                 connection.cancel();
@@ -159,11 +152,11 @@
         public void failed(AnswerFailure failure) {
             timer.cancel();
             connections.closeIdle();
-            fail("The call failed: " + failure);
+            fail("The internal HTTP call failed: " + failure);
         }
 
         /**
-         * Takes the connection.
+         * Stores the opened connection, or cancels it if the call has already failed.
          *
          * @param opened The connection.
          */
@@ -174,22 +167,17 @@
             }
         }
 
-        /** Ends the call because it took too long. */
-        private void expired() {
+        /** Fails the call at its timeout. */
+        private void timedOut() {
             if (connection != null) {
                 connection.cancel();
             }
-            // What made this connection silent may have struck the resting ones too, and each
-            // would cost the time of one more call.
+            // Idle connections may be dead for the same reason, and each would cost a call its
+            // timeout.
             connections.closeIdle();
-            fail("The call took too long.");
+            fail("The internal HTTP call timed out.");
         }
 
-        /**
-         * Fails the call.
-         *
-         * @param message Why.
-         */
         private void fail(String message) {
             if (!result.isComplete()) {
                 result.setException(
--- a/src/main/java/org/martenwell/exchange/HttpReply.java
+++ b/src/main/java/org/martenwell/exchange/HttpReply.java
@@ -1,9 +1,9 @@
 package org.martenwell.exchange;
 
 /**
- * A whole answer to a call of this program's own.
+ * A complete response to one of this program's own requests.
  *
- * @param status The status.
- * @param body The body.
+ * @param status The status code.
+ * @param body The complete body, empty if there is none.
  */
 public record HttpReply(int status, Body body) {}
--- a/src/main/java/org/martenwell/exchange/KeepAlive.java
+++ b/src/main/java/org/martenwell/exchange/KeepAlive.java
@@ -9,19 +9,19 @@
 import org.apache.logging.log4j.Logger;
 import org.martenwell.observe.LogEvent;
 
-/** How an open connection is checked while nothing arrives on it. */
+/** The detection of dead connections on which no data arrives. */
 public enum KeepAlive {
 
-    /** Not at all: whoever uses the connection limits how long it waits. */
+    /** No detection; users of the connection apply their own timeouts. */
     NONE {
         @Override
         void apply(SocketChannel channel) {}
     },
 
     /**
-     * By probes of the operating system, for connections on which a call waits long for an answer.
-     * One that went silent without a reset ends within {@link #IDLE_SECONDS} plus {@link
-     * #INTERVAL_SECONDS}, so that a gateway has caught up 3 s after it.
+     * TCP keep-alive, for connections on which a call waits long for its response. A peer that
+     * vanishes without a reset is detected within {@link #IDLE_SECONDS} plus {@link
+     * #INTERVAL_SECONDS}.
      */
     PROBED {
         @Override
@@ -33,30 +33,30 @@
         }
     };
 
-    /** How long nothing arrives before the first probe, in seconds; the least that TCP takes. */
+    /** The idle time before the first probe, in seconds; 1 is the minimum of TCP. */
     static final int IDLE_SECONDS = 1;
 
-    /** How long a probe waits for its answer, in seconds; the least that TCP takes. */
+    /** The time that a probe waits for its acknowledgement, in seconds; 1 is the minimum of TCP. */
     static final int INTERVAL_SECONDS = 1;
 
-    /** How many probes in a row go unanswered until the connection ends. */
+    /** The number of consecutive unacknowledged probes that close the connection. */
     static final int PROBES = 1;
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(KeepAlive.class);
 
     /**
-     * Sets a connection up.
+     * Sets the socket options.
      *
-     * @param channel The connection.
-     * @throws IOException If the system refuses; the connection works all the same.
+     * @param channel The connected channel.
+     * @throws IOException If the system rejects an option; the connection remains usable.
      */
     abstract void apply(SocketChannel channel) throws IOException;
 
     /**
-     * Sets a connection up. Where the system knows no such probes, the connection stays without.
+     * Sets the socket options. A system without support is logged and the connection used without
+     * them.
      *
-     * @param socket The connection.
+     * @param socket The connected socket.
      */
     final void apply(TcpSocket socket) {
         try {
--- a/src/main/java/org/martenwell/exchange/Reach.java
+++ b/src/main/java/org/martenwell/exchange/Reach.java
@@ -2,25 +2,25 @@
 
 import java.net.ConnectException;
 
-/** What came of opening a connection to a target. */
+/** The outcome of an attempt to connect to a target. */
 public enum Reach {
 
-    /** The target took it. */
+    /** The connection is established. */
     ACCEPTED,
 
-    /** Nothing listens at the target's address: its process has ended. */
+    /** The connection was refused: the box is up, but no process listens at the address. */
     REFUSED,
 
-    /** Nothing came back in time, or the way there is cut. */
-    SILENT;
+    /** The attempt timed out or failed in the network. */
+    UNREACHABLE;
 
     /**
-     * Returns what a failure to connect tells.
+     * Classifies the exception of a failed attempt.
      *
-     * @param failure The failure.
-     * @return What came of it.
+     * @param failure The exception.
+     * @return {@link #REFUSED} or {@link #UNREACHABLE}.
      */
     static Reach of(Exception failure) {
-        return failure instanceof ConnectException ? REFUSED : SILENT;
+        return failure instanceof ConnectException ? REFUSED : UNREACHABLE;
     }
 }
--- a/src/main/java/org/martenwell/exchange/RequestHandler.java
+++ b/src/main/java/org/martenwell/exchange/RequestHandler.java
@@ -1,13 +1,14 @@
 package org.martenwell.exchange;
 
-/** Serves whole requests of callers. */
+/** Handles complete requests of callers. */
 @FunctionalInterface
 public interface RequestHandler {
 
     /**
-     * Serves a request. Called in the loop's thread; it must answer or abort the exchange in time.
+     * Handles a request. Called on the event loop; the exchange must be responded to or aborted,
+     * possibly later.
      *
-     * @param exchange The request and the way to answer it.
+     * @param exchange The request and its pending response.
      */
     void handle(CallerExchange exchange);
 }
--- a/src/main/java/org/martenwell/exchange/RetryAfter.java
+++ b/src/main/java/org/martenwell/exchange/RetryAfter.java
@@ -8,58 +8,56 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads when a server lets its caller come back: in seconds or at a time of day (RFC 9110). */
+/**
+ * Parses {@code Retry-After} headers: a number of seconds or an HTTP date (RFC 9110). Fractions of
+ * seconds are accepted too.
+ */
 public final class RetryAfter {
 
-    /** Seconds, with a fraction if any; at most as many digits as milliseconds may have. */
+    /**
+     * Seconds with an optional fraction; the number of digits is limited so that milliseconds fit a
+     * long.
+     */
     private static final Pattern SECONDS = Pattern.compile("\\d{1,15}(\\.\\d{1,9})?");
 
-    /** How many milliseconds a second has. */
     private static final double SECOND_MILLIS = 1_000;
 
-    /** Not instantiated. */
     private RetryAfter() {}
 
     /**
-     * Reads the headers of an answer. Of several times the longest one holds, and one that can't be
-     * read is none.
+     * Returns the delay that a response requests. The longest of several headers applies; one that
+     * can't be parsed is ignored.
      *
-     * @param headers The headers.
-     * @param dayMillis The time of day in milliseconds since 1970, for a date of an answer that
-     *     does not tell its own.
-     * @return The time to wait in milliseconds, 0 if the server asks for none.
+     * @param headers The response headers.
+     * @param nowMillis The current time in milliseconds since the epoch, from which a date counts
+     *     if the response has no {@code Date} header.
+     * @return The delay in milliseconds; 0 if none is requested.
      */
-    public static long millis(HttpHeaders headers, long dayMillis) {
+    public static long millis(HttpHeaders headers, long nowMillis) {
         long longest = 0;
         for (String each : headers.getAll(HttpHeaderNames.RETRY_AFTER)) {
-            longest = Math.max(longest, millis(each.strip(), headers, dayMillis));
+            longest = Math.max(longest, millis(each.strip(), headers, nowMillis));
         }
         return longest;
     }
 
     /**
-     * Reads a time.
+     * Parses one header value.
      *
-     * @param text The text.
-     * @param headers The headers of its answer.
-     * @param dayMillis The time of day in milliseconds since 1970.
-     * @return The time to wait in milliseconds, not above 0 if there is none.
+     * @param text The value without surrounding whitespace.
+     * @param headers The response headers.
+     * @param nowMillis The current time in milliseconds since the epoch.
+     * @return The delay in milliseconds; 0 or negative if none is requested.
      */
-    private static long millis(String text, HttpHeaders headers, long dayMillis) {
+    private static long millis(String text, HttpHeaders headers, long nowMillis) {
         if (SECONDS.matcher(text).matches()) {
             return Math.round(Double.parseDouble(text) * SECOND_MILLIS);
         }
-        long from = date(headers.get(HttpHeaderNames.DATE, "")).orElse(dayMillis);
-        return date(text).map(until -> until - from).orElse(0L);
+        long reference = parseDate(headers.get(HttpHeaderNames.DATE, "")).orElse(nowMillis);
+        return parseDate(text).map(until -> until - reference).orElse(0L);
     }
 
-    /**
-     * Reads a date.
-     *
-     * @param text The text.
-     * @return The date in milliseconds since 1970, or empty if the text is none.
-     */
-    private static Optional<Long> date(String text) {
+    private static Optional<Long> parseDate(String text) {
         try {
             ZonedDateTime date = ZonedDateTime.parse(text, DateTimeFormatter.RFC_1123_DATE_TIME);
             return Optional.of(date.toInstant().toEpochMilli());
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -19,68 +19,60 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * A connection to a target. It carries one request at a time. Bytes that belong to no request end
- * it, and an answer that is cut off is never told as whole.
+ * A connection to a target that carries one request at a time. It closes on bytes that belong to no
+ * request, and a truncated response is reported as failed, never as complete.
  */
 public final class TargetConnection {
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The socket. */
     private final TcpSocket socket;
 
-    /** Is told of each answer's head. */
-    private final AnswerHeadListener headListener;
+    private final ResponseHeadListener headListener;
 
-    /** Is told when the connection can't be used any more. */
     private final Runnable closeListener;
 
-    /** Decodes answers. */
-    private final AnswerDecoder decoder = new AnswerDecoder();
+    private final ResponseDecoder decoder = new ResponseDecoder();
 
-    /** Encodes requests. */
-    private final EmbeddedChannel codec = CodecChannels.ofTarget(decoder);
+    private final EmbeddedChannel codec = CodecChannels.forTarget(decoder);
 
-    /** Is told of the answer or {@code null} while no request is under way. */
+    /** The listener of the current request, or {@code null} if there is none. */
     private AnswerListener listener;
 
-    /** The head of the answer that arrives or {@code null}. */
+    /** The head of the response being received, or {@code null}. */
     private HttpResponse head;
 
-    /** Whether the arriving answer belongs to another request. */
-    private boolean foreign;
+    /** Set while the response being received is interim or belongs to another request. */
+    private boolean discarding;
 
-    /** Whether another request may follow. */
+    /** Cleared once the connection can't carry another request. */
     private boolean reusable = true;
 
-    /** Whether the socket is closed. */
     private boolean closed;
 
-    /** Whether a read is under way. */
     private boolean reading;
 
-    /** Whether reading waits until {@link #resume}. */
+    /** Set while the consumer applies back-pressure. */
     private boolean paused;
 
-    /** Until when the idle connection may be used, in milliseconds. */
+    /** The end of the idle time, on the event loop's clock. */
     private long usableUntilMillis = Long.MAX_VALUE;
 
-    /** How many bytes of requests wait to be written. */
+    /** Request bytes handed to the socket whose write hasn't completed. */
     private int unwrittenBytes;
 
     /**
-     * Creates a connection.
+     * Creates a connection and starts reading.
      *
-     * @param reactor The loop.
-     * @param socket The open socket.
-     * @param headListener Is told of each answer's head.
-     * @param closeListener Is told when the connection can't be used any more.
+     * @param reactor The event loop.
+     * @param socket The connected socket.
+     * @param headListener Receives the head of each response.
+     * @param closeListener Called once, when the connection closes.
      */
     TargetConnection(
             NioReactor reactor,
             TcpSocket socket,
-            AnswerHeadListener headListener,
+            ResponseHeadListener headListener,
             Runnable closeListener) {
         this.reactor = reactor;
         this.socket = socket;
@@ -89,11 +81,7 @@
         read();
     }
 
-    /**
-     * Returns whether a request may be sent.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if a request can be sent now} */
     boolean usable() {
         return !closed
                 && reusable
@@ -103,24 +91,24 @@
     }
 
     /**
-     * Sets until when the idle connection may be used.
+     * Sets the time after which the idle connection must not be used.
      *
-     * @param untilMillis The time, in milliseconds.
+     * @param untilMillis The time on the event loop's clock, in milliseconds.
      */
-    void useUntil(long untilMillis) {
+    void setUsableUntil(long untilMillis) {
         usableUntilMillis = untilMillis;
     }
 
     /**
-     * Sends a request.
+     * Sends a request. The connection must be usable.
      *
-     * @param request The request.
-     * @param answer Is told of its answer.
+     * @param request The request, whose {@code Content-Length} header is set here.
+     * @param responseListener Receives the response.
      */
-    public void send(TargetRequestHead request, AnswerListener answer) {
-        listener = answer;
+    public void send(TargetRequestHead request, AnswerListener responseListener) {
+        listener = responseListener;
         head = null;
-        foreign = false;
+        discarding = false;
         decoder.expect(request.method());
         if (request.body().length() > 0 || !request.method().equals(HttpMethod.GET)) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().length());
@@ -141,17 +129,20 @@
                         (ignored, failure) -> {
                             unwrittenBytes -= length;
                             if (failure != null) {
-                                broken(false);
+                                disconnected(false);
                             }
                         });
     }
 
-    /** Stops reading until {@link #resume}. */
+    /**
+     * Stops reading until {@link #resume}, so that TCP flow control slows the target down. A read
+     * in progress still completes.
+     */
     public void pause() {
         paused = true;
     }
 
-    /** Reads on. */
+    /** Continues reading after {@link #pause}. */
     public void resume() {
         if (paused) {
             paused = false;
@@ -159,13 +150,15 @@
         }
     }
 
-    /** Closes the connection without telling the listener, so that the target stops its work. */
+    /**
+     * Closes the connection without notifying the listener; the target sees the disconnect and can
+     * stop its work.
+     */
     public void cancel() {
         listener = null;
         close();
     }
 
-    /** Reads on. */
     private void read() {
         if (closed || paused || reading) {
             return;
@@ -176,20 +169,15 @@
                         (bytes, failure) -> {
                             reading = false;
                             if (failure != null) {
-                                broken(false);
+                                disconnected(false);
                             } else if (bytes == null) {
-                                broken(true);
+                                disconnected(true);
                             } else {
                                 received(bytes);
                             }
                         });
     }
 
-    /**
-     * Takes in bytes.
-     *
-     * @param bytes The bytes.
-     */
     private void received(ByteBuf bytes) {
         if (listener == null || closed) {
             bytes.recycle();
@@ -197,21 +185,21 @@
             return;
         }
         CodecChannels.decode(codec, bytes);
-        takeDecoded();
+        processDecoded();
         read();
     }
 
-    /** Takes what was decoded. */
-    private void takeDecoded() {
+    /** Processes decoded parts. Parts without a pending request make the connection unusable. */
+    private void processDecoded() {
         for (HttpObject each = codec.readInbound(); each != null; each = codec.readInbound()) {
             try {
                 if (listener == null) {
                     reusable = false;
                     if (each instanceof HttpResponse late) {
-                        headListener.heard(late);
+                        headListener.headReceived(late);
                     }
                 } else {
-                    take(each);
+                    processPart(each);
                 }
             } finally {
                 ReferenceCountUtil.release(each);
@@ -222,72 +210,58 @@
         }
     }
 
-    /**
-     * Takes a part of an answer.
-     *
-     * @param part The part.
-     */
-    private void take(HttpObject part) {
+    private void processPart(HttpObject part) {
         if (part.decoderResult().isFailure()) {
             fail(head == null ? AnswerFailure.MALFORMED : AnswerFailure.BROKEN_OFF);
             return;
         }
-        if (part instanceof HttpResponse begun) {
-            begin(begun);
+        if (part instanceof HttpResponse responseHead) {
+            beginResponse(responseHead);
         }
         if (part instanceof HttpContent content && head != null) {
-            takeContent(content);
+            processContent(content);
         }
     }
 
-    /**
-     * Takes the head of an answer.
-     *
-     * @param begun The head.
-     */
-    private void begin(HttpResponse begun) {
-        head = begun;
-        headListener.heard(begun);
-        boolean interim = begun.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        foreign = interim || !listener.belongs(begun);
-        if (foreign) {
+    private void beginResponse(HttpResponse responseHead) {
+        head = responseHead;
+        headListener.headReceived(responseHead);
+        boolean interim = responseHead.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        discarding = interim || !listener.belongs(responseHead);
+        if (discarding) {
             reusable = reusable && interim;
             return;
         }
-        reusable = reusable && HttpUtil.isKeepAlive(begun) && framed(begun);
-        listener.begun(begun);
+        reusable = reusable && HttpUtil.isKeepAlive(responseHead) && selfDelimiting(responseHead);
+        listener.begun(responseHead);
     }
 
     /**
-     * Tells whether an answer ends before its connection does.
+     * Tells whether the end of a response is determined by its head rather than by the connection's
+     * end.
      *
-     * @param begun The head.
-     * @return {@code true} if it has a length or comes in chunks.
+     * @param responseHead The response head.
+     * @return {@code true} if it has a length, is chunked or has no body by its status.
      */
-    private static boolean framed(HttpResponse begun) {
-        return HttpUtil.isContentLengthSet(begun)
-                || HttpUtil.isTransferEncodingChunked(begun)
-                || begun.status().code() == 204
-                || begun.status().code() == 304;
+    private static boolean selfDelimiting(HttpResponse responseHead) {
+        return HttpUtil.isContentLengthSet(responseHead)
+                || HttpUtil.isTransferEncodingChunked(responseHead)
+                || responseHead.status().code() == 204
+                || responseHead.status().code() == 304;
     }
 
-    /**
-     * Takes a piece of an answer's body.
-     *
-     * @param content The piece.
-     */
-    private void takeContent(HttpContent content) {
+    private void processContent(HttpContent content) {
         int length = content.content().readableBytes();
-        if (!foreign && length > 0) {
+        if (!discarding && length > 0) {
             byte[] piece = new byte[length];
             content.content().getBytes(content.content().readerIndex(), piece);
             listener.received(piece);
         }
         if (content instanceof LastHttpContent) {
-            boolean mine = !foreign;
+            boolean matching = !discarding;
             head = null;
-            foreign = false;
-            if (mine && listener != null) {
+            discarding = false;
+            if (matching && listener != null) {
                 AnswerListener done = listener;
                 listener = null;
                 reusable = reusable && unwrittenBytes == 0;
@@ -297,17 +271,18 @@
     }
 
     /**
-     * Notes that the connection ended.
+     * Handles the end of the connection. An orderly close completes a response without framing.
      *
-     * @param orderly Whether the target closed it rather than reset it.
+     * @param orderly {@code true} if the target closed the connection, {@code false} for a socket
+     *     error.
      */
-    private void broken(boolean orderly) {
+    private void disconnected(boolean orderly) {
         if (closed) {
             return;
         }
-        if (orderly && listener != null && head != null && !framed(head)) {
+        if (orderly && listener != null && head != null && !selfDelimiting(head)) {
             codec.finish();
-            takeDecoded();
+            processDecoded();
         }
         if (listener != null) {
             fail(head == null ? AnswerFailure.NO_ANSWER : AnswerFailure.BROKEN_OFF);
@@ -316,9 +291,9 @@
     }
 
     /**
-     * Ends the connection with a failure.
+     * Closes the connection and fails the current request.
      *
-     * @param failure The failure.
+     * @param failure The reason.
      */
     private void fail(AnswerFailure failure) {
         AnswerListener failed = listener;
@@ -328,7 +303,6 @@
         failed.failed(failure);
     }
 
-    /** Closes the socket. */
     private void close() {
         if (!closed) {
             closed = true;
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -10,83 +10,80 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The connections to one target: opens them and keeps idle ones for the next request. */
+/** The connection pool of one target. Idle connections are reused, the last used one first. */
 public final class TargetConnections {
 
-    /** How long a connection may rest if the target does not say, in milliseconds. */
-    private static final long DEFAULT_REST_MILLIS = 4_000;
+    /**
+     * The maximum idle time of a connection for which the target announced none, in milliseconds.
+     */
+    private static final long DEFAULT_IDLE_MILLIS = 4_000;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The target's address. */
     private final InetSocketAddress address;
 
-    /** How long opening a connection may take, in milliseconds. */
-    private final long connectMillis;
+    private final long connectTimeoutMillis;
 
-    /** How open connections are checked while nothing arrives. */
     private final KeepAlive keepAlive;
 
-    /** Is told of each answer's head. */
-    private final AnswerHeadListener headListener;
+    private final ResponseHeadListener headListener;
 
     /** The idle connections, the last used one first. */
     private final Deque<TargetConnection> idle = new ArrayDeque<>();
 
-    /** Whether no connection is kept any more. */
+    /** Set once connections are no longer kept. */
     private boolean closed;
 
     /**
-     * Creates connections to a target.
+     * Creates an empty pool.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param address The target's address.
-     * @param connectMillis How long opening a connection may take, in milliseconds.
-     * @param keepAlive How open connections are checked while nothing arrives.
-     * @param headListener Is told of each answer's head.
+     * @param connectTimeoutMillis The timeout of connecting, in milliseconds.
+     * @param keepAlive The detection of dead connections.
+     * @param headListener Receives the head of each response.
      */
     public TargetConnections(
             NioReactor reactor,
             InetSocketAddress address,
-            long connectMillis,
+            long connectTimeoutMillis,
             KeepAlive keepAlive,
-            AnswerHeadListener headListener) {
+            ResponseHeadListener headListener) {
         this.reactor = reactor;
         this.address = address;
-        this.connectMillis = connectMillis;
+        this.connectTimeoutMillis = connectTimeoutMillis;
         this.keepAlive = keepAlive;
         this.headListener = headListener;
     }
 
     /**
-     * Sends a request over an idle connection or a new one.
+     * Sends a request over an idle connection, or over a new one if none is usable.
      *
      * @param request The request.
-     * @param listener Is told of the answer.
-     * @param opened Is told of the connection before anything is sent.
+     * @param listener Receives the response.
+     * @param opened Receives the connection before anything is sent, and may cancel it.
      */
     public void send(
             TargetRequestHead request, AnswerListener listener, Consumer<TargetConnection> opened) {
         for (TargetConnection each = idle.poll(); each != null; each = idle.poll()) {
             if (each.usable()) {
-                sendOn(each, request, listener, opened);
+                sendOnConnection(each, request, listener, opened);
                 return;
             }
             each.cancel();
         }
-        sendOnNew(request, listener, opened);
+        sendOnNewConnection(request, listener, opened);
     }
 
     /**
-     * Sends a request over an open connection.
+     * Sends a request over a given connection.
      *
      * @param connection The connection.
      * @param request The request.
-     * @param listener Is told of the answer.
-     * @param opened Is told of the connection before anything is sent; nothing is if it cancels it.
+     * @param listener Receives the response.
+     * @param opened Receives the connection first; if it cancels it, nothing is sent.
      */
-    private static void sendOn(
+    private static void sendOnConnection(
             TargetConnection connection,
             TargetRequestHead request,
             AnswerListener listener,
@@ -101,50 +98,52 @@
      * Sends a request over a new connection.
      *
      * @param request The request.
-     * @param listener Is told of the answer.
-     * @param opened Is told of the connection before anything is sent.
+     * @param listener Receives the response, or the failure to connect.
+     * @param opened Receives the connection before anything is sent, and may cancel it.
      */
-    public void sendOnNew(
+    public void sendOnNewConnection(
             TargetRequestHead request, AnswerListener listener, Consumer<TargetConnection> opened) {
-        TcpSocket.connect(reactor, address, Duration.ofMillis(connectMillis), settings())
+        TcpSocket.connect(
+                        reactor, address, Duration.ofMillis(connectTimeoutMillis), socketSettings())
                 .subscribe(
                         (socket, failure) -> {
                             if (failure != null) {
                                 listener.failed(AnswerFailure.of(Reach.of(failure)));
                                 return;
                             }
-                            sendOn(open(socket), request, listener, opened);
+                            sendOnConnection(wrap(socket), request, listener, opened);
                         });
     }
 
     /**
-     * Finds out whether the target can be reached, by a new connection. One that opens is kept for
-     * the next request.
+     * Checks that the target accepts connections, by opening one. It is kept for the next request.
      *
-     * @param listener Is told what came of it.
+     * @param listener Receives the outcome.
      */
     public void probe(Consumer<Reach> listener) {
-        TcpSocket.connect(reactor, address, Duration.ofMillis(connectMillis), settings())
+        TcpSocket.connect(
+                        reactor, address, Duration.ofMillis(connectTimeoutMillis), socketSettings())
                 .subscribe(
                         (socket, failure) -> {
                             if (failure != null) {
                                 listener.accept(Reach.of(failure));
                                 return;
                             }
-                            keep(open(socket), 0);
+                            keep(wrap(socket), 0);
                             listener.accept(Reach.ACCEPTED);
                         });
     }
 
     /**
-     * Keeps a connection for the next request, if it can carry one.
+     * Returns a connection to the pool, or closes it if it can't carry another request.
      *
      * @param connection The connection.
-     * @param restMillis How long it may rest, in milliseconds, or 0 if the target did not say.
+     * @param idleMillis The maximum idle time that the target announced, in milliseconds, or 0 for
+     *     none.
      */
-    public void keep(TargetConnection connection, long restMillis) {
-        long rest = restMillis > 0 ? restMillis : DEFAULT_REST_MILLIS;
-        connection.useUntil(reactor.currentTimeMillis() + rest);
+    public void keep(TargetConnection connection, long idleMillis) {
+        long effectiveIdleMillis = idleMillis > 0 ? idleMillis : DEFAULT_IDLE_MILLIS;
+        connection.setUsableUntil(reactor.currentTimeMillis() + effectiveIdleMillis);
         if (closed || !connection.usable()) {
             connection.cancel();
         } else {
@@ -152,33 +151,29 @@
         }
     }
 
-    /**
-     * Returns whether no connection is kept any more, since the target is no longer known.
-     *
-     * @return {@code true} once they were closed.
-     */
+    /** {@return {@code true} once {@link #close} was called, as for a target that was removed} */
     public boolean closed() {
         return closed;
     }
 
-    /** Closes idle connections. */
+    /** Closes idle connections; the pool remains usable. */
     public void closeIdle() {
         List.copyOf(idle).forEach(TargetConnection::cancel);
     }
 
-    /** Closes idle connections and keeps none any more. */
+    /** Closes idle connections; those in use close when they are returned. */
     public void close() {
         closed = true;
         closeIdle();
     }
 
     /**
-     * Takes an open socket.
+     * Wraps a connected socket. The connection removes itself from the pool when it closes.
      *
      * @param socket The socket.
      * @return The connection.
      */
-    private TargetConnection open(TcpSocket socket) {
+    private TargetConnection wrap(TcpSocket socket) {
         keepAlive.apply(socket);
         TargetConnection[] connection = new TargetConnection[1];
         connection[0] =
@@ -187,12 +182,7 @@
         return connection[0];
     }
 
-    /**
-     * Returns the settings of sockets.
-     *
-     * @return The settings.
-     */
-    private static SocketSettings settings() {
+    private static SocketSettings socketSettings() {
         return SocketSettings.builder().withTcpNoDelay(true).build();
     }
 }
--- a/src/main/java/org/martenwell/exchange/TargetRequestHead.java
+++ b/src/main/java/org/martenwell/exchange/TargetRequestHead.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A request to a target.
+ * An HTTP request that this program sends, with its complete body.
  *
  * @param method The method.
- * @param target The request target.
+ * @param target The request target, with its query.
  * @param headers The headers, without those that frame the body.
- * @param body The whole body.
+ * @param body The complete body, empty if there is none.
  */
 public record TargetRequestHead(HttpMethod method, String target, HttpHeaders headers, Body body) {}
--- a/src/main/java/org/martenwell/exchange/package-info.java
+++ b/src/main/java/org/martenwell/exchange/package-info.java
@@ -1,5 +1,6 @@
 /**
- * HTTP/1.1 over the event loop's TCP sockets. Netty's codecs decode and encode; the sockets, the
- * reuse of connections and the rules for answers that break off are this package's.
+ * HTTP/1.1 on the event loop's TCP sockets: the server for callers and the connections to targets.
+ * Netty's codecs decode and encode messages; connection reuse and the handling of truncated
+ * responses are implemented here.
  */
 package org.martenwell.exchange;
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -25,11 +25,11 @@
 
     private final InetSocketAddress address = IpAddress.of(LoopbackPorts.free(1).get(0));
 
-    /** The exchanges that were handed to the handler. */
+    /** The exchanges passed to the handler. */
     private final BlockingQueue<CallerExchange> exchanges = new LinkedBlockingQueue<>();
 
-    /** The exchanges whose caller left. */
-    private final BlockingQueue<CallerExchange> left = new LinkedBlockingQueue<>();
+    /** The exchanges whose caller disconnected. */
+    private final BlockingQueue<CallerExchange> abandoned = new LinkedBlockingQueue<>();
 
     private CallerServer server;
 
@@ -47,32 +47,33 @@
     }
 
     @Test
-    void testRequestsOfOneConnectionAreAnsweredInOrder() throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send("GET /a HTTP/1.1|Host: x||GET /b HTTP/1.1|Host: x||");
-            assertThat(caller.readUntil("GET /b")).contains("GET /a").contains("200 OK");
+    void testPipelinedRequestsAreServedInOrder() throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send("GET /a HTTP/1.1|Host: x||GET /b HTTP/1.1|Host: x||");
+            assertThat(client.readUntil("GET /b")).contains("GET /a").contains("200 OK");
         }
     }
 
     @Test
-    void testBodyInChunksArrivesWhole() throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send(
+    void testChunkedBodyIsComplete() throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send(
                     "POST /echo HTTP/1.1|Host: x|Transfer-Encoding: chunked||3;name=value|abc|2|de|0|Trailer: x||");
-            assertThat(caller.readUntil("abcde")).containsIgnoringCase("content-length: 5");
+            assertThat(client.readUntil("abcde")).containsIgnoringCase("content-length: 5");
         }
     }
 
     @Test
-    void testExpectingCallerIsToldToSendItsBody() throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send("POST /echo HTTP/1.1|Host: x|Expect: 100-continue|Content-Length: 2||");
-            assertThat(caller.readUntil("\r\n\r\n")).startsWith("HTTP/1.1 100 Continue");
-            caller.send("ok");
-            assertThat(caller.readUntil("ok")).startsWith("HTTP/1.1 200 OK");
+    void testExpectContinueIsAnsweredBeforeTheBody() throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send("POST /echo HTTP/1.1|Host: x|Expect: 100-continue|Content-Length: 2||");
+            assertThat(client.readUntil("\r\n\r\n")).startsWith("HTTP/1.1 100 Continue");
+            client.send("ok");
+            assertThat(client.readUntil("ok")).startsWith("HTTP/1.1 200 OK");
         }
     }
 
+    /** Guards against request smuggling through framing that a target could parse differently. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -86,50 +87,49 @@
                 "POST / HTTP/1.1|Host: x|Content-Length: +1||a",
                 "POST / HTTP/1.1|Host: x|Transfer-Encoding: chunked||zz|",
             })
-    void testWhatTwoReadersCouldTakeDifferentlyIsRefusedAndNothingBehindIt(String request)
-            throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send(request + "GET /smuggled HTTP/1.1|Host: x||");
-            assertThat(caller.readAll()).startsWith("HTTP/1.1 400").doesNotContain("200 OK");
+    void testAmbiguousRequestIsRejectedAndNothingAfterItServed(String request) throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send(request + "GET /smuggled HTTP/1.1|Host: x||");
+            assertThat(client.readAll()).startsWith("HTTP/1.1 400").doesNotContain("200 OK");
             assertThat(exchanges).isEmpty();
         }
     }
 
     @Test
-    void testTooLargeBodyIsRefused() throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send("POST /echo HTTP/1.1|Host: x|Content-Length: 3000||" + "a".repeat(3_000));
-            assertThat(caller.readAll()).startsWith("HTTP/1.1 413");
+    void testTooLargeBodyIsRejected() throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send("POST /echo HTTP/1.1|Host: x|Content-Length: 3000||" + "a".repeat(3_000));
+            assertThat(client.readAll()).startsWith("HTTP/1.1 413");
         }
     }
 
     @Test
-    void testTooLargeHeadIsRefused() throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send("GET / HTTP/1.1|Host: x|A: " + "a".repeat(2_000) + "||");
-            assertThat(caller.readAll()).startsWith("HTTP/1.1 431");
+    void testTooLargeHeadIsRejected() throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send("GET / HTTP/1.1|Host: x|A: " + "a".repeat(2_000) + "||");
+            assertThat(client.readAll()).startsWith("HTTP/1.1 431");
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void testLeavingCallerIsNoticedWhileItsRequestIsServed(boolean reset)
+    void testDisconnectIsDetectedWhileARequestIsServed(boolean reset)
             throws IOException, InterruptedException {
-        RawExchange caller = new RawExchange(address);
-        caller.send("GET /wait HTTP/1.1|Host: x||");
+        RawHttpClient client = new RawHttpClient(address);
+        client.send("GET /wait HTTP/1.1|Host: x||");
         CallerExchange served = exchanges.poll(10, TimeUnit.SECONDS);
         if (reset) {
-            caller.reset();
+            client.reset();
         } else {
-            caller.close();
+            client.close();
         }
-        assertThat(left.poll(10, TimeUnit.SECONDS)).isSameAs(served);
+        assertThat(abandoned.poll(10, TimeUnit.SECONDS)).isSameAs(served);
     }
 
     @Test
-    void testAbortedAnswerDoesNotLookWhole() throws IOException, InterruptedException {
-        try (RawExchange caller = new RawExchange(address)) {
-            caller.send("GET /wait HTTP/1.1|Host: x||");
+    void testAbortedResponseIsNotTerminated() throws IOException, InterruptedException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
+            client.send("GET /wait HTTP/1.1|Host: x||");
             CallerExchange served = exchanges.poll(10, TimeUnit.SECONDS);
             thread.call(
                     () -> {
@@ -137,39 +137,38 @@
                         served.write("part".getBytes(StandardCharsets.UTF_8));
                         return Promise.complete();
                     });
-            caller.readUntil("part");
+            client.readUntil("part");
             thread.call(
                     () -> {
                         served.abort();
                         return Promise.complete();
                     });
-            assertThat(caller.readAll()).doesNotContain("0\r\n\r\n");
+            assertThat(client.readAll()).doesNotContain("0\r\n\r\n");
         }
     }
 
     @Test
-    void testDrainingServerEndsConnectionsBehindTheirAnswer() throws IOException {
-        try (RawExchange caller = new RawExchange(address)) {
+    void testDrainingServerClosesConnectionsAfterTheirResponse() throws IOException {
+        try (RawHttpClient client = new RawHttpClient(address)) {
             thread.call(
                     () -> {
                         server.drain();
                         return Promise.complete();
                     });
-            caller.send("GET /a HTTP/1.1|Host: x||");
-            assertThat(caller.readAll())
+            client.send("GET /a HTTP/1.1|Host: x||");
+            assertThat(client.readAll())
                     .contains("GET /a")
                     .containsIgnoringCase("connection: close");
         }
     }
 
     /**
-     * Answers with the method and path, or the body, or not at all.
-     *
-     * @param exchange The exchange.
+     * Responds with the body to {@code /echo}, not at all to {@code /wait}, else with method and
+     * path.
      */
     private void handle(CallerExchange exchange) {
         CallerRequest request = exchange.request();
-        exchange.onLeave(() -> left.add(exchange));
+        exchange.onLeave(() -> abandoned.add(exchange));
         exchanges.add(exchange);
         if (!request.path().equals("/wait")) {
             boolean echo = request.path().equals("/echo");
--- a/src/test/java/org/martenwell/exchange/RestingConnectionMemoryTest.java
+++ b/src/test/java/org/martenwell/exchange/IdleConnectionMemoryTest.java
@@ -15,43 +15,33 @@
 import org.martenwell.service.LoopbackPorts;
 
 /**
- * Symptom: a gateway of a large fleet ends with {@code OutOfMemoryError} some seconds after many of
- * its peers were killed, with 4,856 files open and a heap of 96 MB.
- *
- * <p>Sequence: the callers of the killed gateways connect to those that are left, send a request
- * each and keep their connections open.
- *
- * <p>Cause: a connection kept the buffer in which its last request's body had been gathered: 15.4
- * KB behind a body of 12 KB and 134 KB behind one of 70 KB, against 3.5 KB behind a body of 100
- * bytes. 4,000 resting connections so held 60 MB.
- *
- * <p>Settled by the heap in use before and after 1,000 connections, after collections.
+ * Guards against an {@code OutOfMemoryError} from idle connections that retain the body buffer of
+ * their last request.
  */
-final class RestingConnectionMemoryTest {
+final class IdleConnectionMemoryTest {
 
-    /** How many connections rest. */
     private static final int CONNECTIONS = 200;
 
-    /** The length of each request's body, in bytes. */
+    /** The size of each request's body, well above the limit per connection. */
     private static final int BODY_BYTES = 100_000;
 
-    /** What a resting connection may hold, in bytes; half of it is not used today. */
-    private static final long MAX_BYTES = 10_000;
+    /** The maximum heap growth per idle connection, in bytes. */
+    private static final long MAX_BYTES_PER_CONNECTION = 10_000;
 
-    private final LoopThread thread = LoopThread.start("resting-connections");
+    private final LoopThread thread = LoopThread.start("idle-connections");
 
-    private final List<Socket> callers = new ArrayList<>();
+    private final List<Socket> clients = new ArrayList<>();
 
     @AfterEach
     void stop() throws IOException {
-        for (Socket each : callers) {
+        for (Socket each : clients) {
             each.close();
         }
         thread.stop();
     }
 
     @Test
-    void testRestingConnectionDoesNotHoldItsLastRequest() throws IOException {
+    void testIdleConnectionDoesNotRetainItsLastRequest() throws IOException {
         String address = LoopbackPorts.free(1).get(0);
         CallerServer server =
                 new CallerServer(
@@ -63,23 +53,26 @@
                                         DefaultHttpHeadersFactory.headersFactory().newHeaders(),
                                         new byte[0]));
         thread.call(server::start);
-        callOnNew(address);
+        sendOnNewConnection(address);
         long before = heapBytes();
         for (int count = 0; count < CONNECTIONS; count++) {
-            callOnNew(address);
+            sendOnNewConnection(address);
         }
-        assertThat((heapBytes() - before) / CONNECTIONS).isLessThan(MAX_BYTES);
+        assertThat((heapBytes() - before) / CONNECTIONS).isLessThan(MAX_BYTES_PER_CONNECTION);
     }
 
-    /** Sends a request on a new connection, waits for the answer's first byte and keeps it open. */
-    private void callOnNew(String address) throws IOException {
-        Socket caller =
+    /**
+     * Sends a request on a new connection, awaits the response's first byte and keeps the
+     * connection open.
+     */
+    private void sendOnNewConnection(String address) throws IOException {
+        Socket client =
                 new Socket(IpAddress.of(address).getAddress(), IpAddress.of(address).getPort());
-        callers.add(caller);
+        clients.add(client);
         String head = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
-        caller.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-        caller.getOutputStream().write(new byte[BODY_BYTES]);
-        assertThat(caller.getInputStream().read()).isEqualTo('H');
+        client.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream().write(new byte[BODY_BYTES]);
+        assertThat(client.getInputStream().read()).isEqualTo('H');
     }
 
     private static long heapBytes() {
--- a/src/test/java/org/martenwell/exchange/KeepAliveTest.java
+++ b/src/test/java/org/martenwell/exchange/KeepAliveTest.java
@@ -8,11 +8,10 @@
 import jdk.net.ExtendedSocketOptions;
 import org.junit.jupiter.api.Test;
 
-/** Tests how connections are set up to notice that they went silent. */
 final class KeepAliveTest {
 
     @Test
-    void testProbedConnectionEndsTwoSecondsAfterItWentSilent() throws IOException {
+    void testProbedConnectionDetectsADeadPeerWithinTwoSeconds() throws IOException {
         try (SocketChannel channel = SocketChannel.open()) {
             KeepAlive.PROBED.apply(channel);
             assertThat(channel.getOption(StandardSocketOptions.SO_KEEPALIVE)).isTrue();
@@ -23,7 +22,7 @@
     }
 
     @Test
-    void testOtherConnectionIsLeftAsItIs() throws IOException {
+    void testConnectionWithoutProbesHasNoKeepAlive() throws IOException {
         try (SocketChannel channel = SocketChannel.open()) {
             KeepAlive.NONE.apply(channel);
             assertThat(channel.getOption(StandardSocketOptions.SO_KEEPALIVE)).isFalse();
--- a/src/test/java/org/martenwell/exchange/RawExchange.java
+++ b/src/test/java/org/martenwell/exchange/RawHttpClient.java
@@ -8,29 +8,27 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** Speaks HTTP by hand, so that what no library sends can be sent. */
-final class RawExchange implements AutoCloseable {
+/** A client that sends arbitrary bytes, for requests that no HTTP library would send. */
+final class RawHttpClient implements AutoCloseable {
 
-    /** How long a read may take, in milliseconds. */
-    private static final int READ_MILLIS = 10_000;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** The connection. */
     private final Socket socket;
 
-    RawExchange(InetSocketAddress address) throws IOException {
+    RawHttpClient(InetSocketAddress address) throws IOException {
         socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(READ_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     }
 
-    /** Sends text as it is, but for bars, which stand for ends of lines. */
-    RawExchange send(String text) throws IOException {
+    /** Sends text in which each {@code |} stands for a line end. */
+    RawHttpClient send(String text) throws IOException {
         String lines = text.replace("|", "\r\n");
         socket.getOutputStream().write(lines.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
         return this;
     }
 
-    /** Reads until some text arrived. */
+    /** Reads until the received text contains a given text, or to the end of input. */
     String readUntil(String end) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         InputStream input = socket.getInputStream();
@@ -44,7 +42,7 @@
         return bytes.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads until the other side closes. */
+    /** Reads to the end of input; a reset by the server appends {@code (reset)}. */
     String readAll() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         InputStream input = socket.getInputStream();
@@ -58,7 +56,7 @@
         return bytes.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Closes the connection with a reset. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/org/martenwell/exchange/RawTarget.java
+++ b/src/test/java/org/martenwell/exchange/RawTarget.java
@@ -10,45 +10,43 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A target that answers each request head with given bytes and then closes, resets or waits. */
+/** A target that sends preset bytes in response to each request head. */
 final class RawTarget implements AutoCloseable {
 
-    /** What the target does behind its answer. */
+    /** The state of the connection after a response. */
     enum Ending {
-        /** It waits for the next request. */
+        /** The connection stays open for the next request. */
         KEEP,
-        /** It closes the connection. */
+        /** The target closes the connection. */
         CLOSE,
-        /** It resets the connection. */
+        /** The target resets the connection once it has received another byte. */
         RESET
     }
 
-    /** How long to wait for the thread before its connection is closed once more. */
+    /**
+     * The interval at which {@link #close} closes the current connection until the thread has
+     * ended.
+     */
     private static final long JOIN_MILLIS = 10;
 
-    /** Takes connections. */
     private final ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
 
-    /** How many connections were opened. */
     private final AtomicInteger connections = new AtomicInteger();
 
-    /** How many heads of requests came. */
     private final AtomicInteger heads = new AtomicInteger();
 
-    /** The answers in order; the last one is given again. */
-    private final String[] answers;
+    /** The responses in order; the last one is repeated. */
+    private final String[] responses;
 
-    /** What follows an answer. */
     private final Ending ending;
 
-    /** Serves one connection after the other. */
     private final Thread thread = new Thread(this::serve, "raw-target");
 
-    /** The connection being served or {@code null}. */
+    /** The connection being served, or {@code null}. */
     private volatile Socket served;
 
-    RawTarget(Ending ending, String... answers) throws IOException {
-        this.answers = answers;
+    RawTarget(Ending ending, String... responses) throws IOException {
+        this.responses = responses;
         this.ending = ending;
         thread.setDaemon(true);
         thread.start();
@@ -74,11 +72,12 @@
                 connections.incrementAndGet();
                 while (readHead(socket.getInputStream())) {
                     heads.incrementAndGet();
-                    String answer = answers[Math.min(next++, answers.length - 1)];
-                    socket.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+                    String response = responses[Math.min(next++, responses.length - 1)];
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
                     socket.getOutputStream().flush();
                     if (ending == Ending.RESET) {
-                        // The answer has to be read before the reset, or it would be dropped.
+                        // Waits until the client has read the response, which a reset would
+                        // discard.
                         socket.getInputStream().read();
                         socket.setSoLinger(true, 0);
                     }
@@ -87,16 +86,16 @@
                     }
                 }
             } catch (IOException expected) {
-                // The other side closed; the next connection follows.
+                // The client has disconnected.
             }
         }
     }
 
     private static boolean readHead(InputStream input) throws IOException {
-        int ends = 0;
+        int lineEnds = 0;
         for (int next = input.read(); next >= 0; next = input.read()) {
-            ends = next == '\n' ? ends + 1 : next == '\r' ? ends : 0;
-            if (ends == 2) {
+            lineEnds = next == '\n' ? lineEnds + 1 : next == '\r' ? lineEnds : 0;
+            if (lineEnds == 2) {
                 return true;
             }
         }
@@ -104,8 +103,8 @@
     }
 
     /**
-     * Closes the port and waits until it is closed. While the thread waits for a connection, the
-     * system still completes connections to the port, also after the socket was closed.
+     * Closes the port and waits for the thread: while {@code accept} blocks, the system still
+     * completes connections to the closed port.
      */
     @Override
     public void close() throws IOException {
--- a/src/test/java/org/martenwell/exchange/RawTargetTest.java
+++ b/src/test/java/org/martenwell/exchange/RawTargetTest.java
@@ -7,10 +7,10 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** Tests the raw target itself, on which the tests of connections rest. */
+/** Guards against test flakiness from a raw target that accepts connections after its close. */
 final class RawTargetTest {
 
-    /** How often a port is closed, since the fault shows only now and then. */
+    /** Repetitions, since the race is lost only rarely. */
     private static final int ROUNDS = 200;
 
     private static final int CONNECT_MILLIS = 5_000;
@@ -22,15 +22,15 @@
             RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, "");
             InetSocketAddress address = target.address();
             target.close();
-            connected += connects(address) ? 1 : 0;
+            connected += canConnect(address) ? 1 : 0;
         }
         assertThat(connected).isZero();
     }
 
-    private static boolean connects(InetSocketAddress address) {
+    private static boolean canConnect(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
             socket.connect(address, CONNECT_MILLIS);
-            // A port may be given to the connecting end itself, which then meets itself.
+            // A TCP self-connect, possible if the client gets the closed port, doesn't count.
             return socket.getLocalPort() != address.getPort();
         } catch (IOException refused) {
             return false;
--- a/src/test/java/org/martenwell/exchange/RetryAfterTest.java
+++ b/src/test/java/org/martenwell/exchange/RetryAfterTest.java
@@ -10,7 +10,7 @@
 
 class RetryAfterTest {
 
-    /** The time of day of all tests: Thu, 01 Jan 1970 00:00:10 GMT. */
+    /** Thu, 01 Jan 1970 00:00:10 GMT. */
     private static final long NOW_MILLIS = 10_000;
 
     @ParameterizedTest
@@ -33,20 +33,20 @@
                 "Thu, 01 Jan 1970 00:00:07 GMT|0",
                 "Thu, 99 Jan 1970 00:00:07 GMT|0",
             })
-    void testTimeIsSecondsOrADate(String text, long millis) {
+    void testDelayIsSecondsOrADate(String text, long millis) {
         assertThat(RetryAfter.millis(headers(text), NOW_MILLIS)).isEqualTo(millis);
     }
 
-    /** The clocks of targets and gateways differ, so a date counts from the answer's own. */
+    /** Guards against delays distorted by clock differences between targets and gateways. */
     @Test
-    void testDateCountsFromTheAnswersOwnTime() {
+    void testDateCountsFromTheResponsesDateHeader() {
         HttpHeaders headers = headers("Thu, 01 Jan 1970 01:00:04 GMT");
         headers.set("Date", "Thu, 01 Jan 1970 01:00:00 GMT");
         assertThat(RetryAfter.millis(headers, NOW_MILLIS)).isEqualTo(4_000);
     }
 
     @Test
-    void testLongestOfSeveralTimesHolds() {
+    void testLongestOfSeveralDelaysApplies() {
         HttpHeaders headers = headers("2");
         headers.add("Retry-After", "soon");
         headers.add("Retry-After", "5");
@@ -55,9 +55,9 @@
     }
 
     @Test
-    void testNoHeaderIsNoTime() {
-        HttpHeaders none = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        assertThat(RetryAfter.millis(none, NOW_MILLIS)).isZero();
+    void testMissingHeaderIsNoDelay() {
+        HttpHeaders empty = DefaultHttpHeadersFactory.headersFactory().newHeaders();
+        assertThat(RetryAfter.millis(empty, NOW_MILLIS)).isZero();
     }
 
     private static HttpHeaders headers(String retryAfter) {
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -20,22 +20,22 @@
 
 class TargetConnectionsTest {
 
-    /** The header by which answers are matched. */
+    /** The header that matches responses to requests. */
     private static final String ID = "Id";
 
-    /** A whole answer to the first request. */
+    /** A complete response to the first request. */
     private static final String FIRST = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nab";
 
-    /** A whole answer to the second request. */
+    /** A complete response to the second request. */
     private static final String SECOND = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\ncd";
 
     private final LoopThread thread = LoopThread.start("test-targets");
 
-    /** The ids in the heads of all answers. */
+    /** The ids in all response heads. */
     private final List<String> heads = new CopyOnWriteArrayList<>();
 
-    /** What was told of answers. */
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    /** The outcomes of requests. */
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
 
     @AfterEach
     void stop() {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void testConnectionIsUsedAgain() throws Exception {
+    void testConnectionIsReused() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST, SECOND)) {
             TargetConnections connections = connections(target.address());
             assertThat(send(connections, "1")).isEqualTo("ended ab");
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void testAnswerOfAnotherRequestIsDropped() throws Exception {
+    void testResponseOfAnotherRequestIsDiscarded() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST + SECOND, SECOND)) {
             TargetConnections connections = connections(target.address());
             assertThat(send(connections, "2")).isEqualTo("ended cd");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void testBytesBehindAnAnswerEndTheConnection() throws Exception {
+    void testBytesAfterAResponseCloseTheConnection() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST + FIRST, SECOND)) {
             TargetConnections connections = connections(target.address());
             assertThat(send(connections, "1")).isEqualTo("ended ab");
@@ -71,40 +71,41 @@
     }
 
     @Test
-    void testAnswerWithoutLengthIsWholeIfItsConnectionIsClosed() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nab";
-        try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, answer)) {
+    void testResponseWithoutLengthIsCompleteOnClose() throws Exception {
+        String response = "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nab";
+        try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, response)) {
             assertThat(send(connections(target.address()), "1")).isEqualTo("ended ab");
         }
     }
 
     @Test
-    void testAnswerWithoutLengthIsNotWholeIfItsConnectionIsReset() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nab";
-        try (RawTarget target = new RawTarget(RawTarget.Ending.RESET, answer)) {
+    void testResponseWithoutLengthFailsOnReset() throws Exception {
+        String response = "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nab";
+        try (RawTarget target = new RawTarget(RawTarget.Ending.RESET, response)) {
             TargetConnections connections = connections(target.address());
             assertThat(send(connections, "1", "x")).isEqualTo("failed BROKEN_OFF");
         }
     }
 
     @Test
-    void testShortAnswerIsNotWhole() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nab";
-        try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, answer)) {
+    void testResponseShorterThanItsLengthFails() throws Exception {
+        String response = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nab";
+        try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, response)) {
             assertThat(send(connections(target.address()), "1")).isEqualTo("failed BROKEN_OFF");
         }
     }
 
     @Test
-    void testChunkedAnswerWithoutEndIsNotWhole() throws Exception {
-        String answer = "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n";
-        try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, answer)) {
+    void testChunkedResponseWithoutLastChunkFails() throws Exception {
+        String response =
+                "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n";
+        try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, response)) {
             assertThat(send(connections(target.address()), "1")).isEqualTo("failed BROKEN_OFF");
         }
     }
 
     @Test
-    void testNoAnswerAndNoHttpAreFailures() throws Exception {
+    void testMissingAndMalformedResponsesFail() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, "", "nonsense\r\n\r\n")) {
             TargetConnections connections = connections(target.address());
             assertThat(send(connections, "1")).isEqualTo("failed NO_ANSWER");
@@ -113,30 +114,32 @@
     }
 
     @Test
-    void testClosedPortIsNotConnected() throws Exception {
+    void testClosedPortIsRefused() throws Exception {
         RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, "");
         InetSocketAddress address = target.address();
         target.close();
         assertThat(send(connections(address), "1")).isEqualTo("failed REFUSED");
     }
 
-    /** A target may have said meanwhile that it wants nothing, on another connection. */
+    /**
+     * A target may have asked for a pause on another connection while this one was being opened.
+     */
     @Test
-    void testNothingIsSentOverAConnectionThatIsCancelledWhenItIsOpen() throws Exception {
+    void testNothingIsSentOnAConnectionCancelledOnOpening() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST)) {
             TargetConnections connections = connections(target.address());
-            cancelWhenOpen(connections);
+            cancelOnOpening(connections);
             await(() -> target.connections() == 1);
             assertThat(send(connections, "1")).isEqualTo("ended ab");
-            cancelWhenOpen(connections);
+            cancelOnOpening(connections);
             assertThat(send(connections, "1")).isEqualTo("ended ab");
             assertThat(target.heads()).isEqualTo(2);
         }
     }
 
-    /** What an answer says of its target holds also if nobody waits for the answer itself. */
+    /** Response heads carry the target's availability, also when no request awaits the response. */
     @Test
-    void testHeadsOfAllAnswersAreTold() throws Exception {
+    void testHeadsOfAllResponsesAreReported() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST + SECOND, SECOND)) {
             assertThat(send(connections(target.address()), "2")).isEqualTo("ended cd");
             assertThat(heads).containsExactly("1", "2");
@@ -157,8 +160,8 @@
                 head -> heads.add(head.headers().get(ID)));
     }
 
-    /** Sends a request and cancels its connection as soon as it is open. */
-    private void cancelWhenOpen(TargetConnections connections) {
+    /** Sends a request whose connection is cancelled as soon as it is open. */
+    private void cancelOnOpening(TargetConnections connections) {
         thread.call(
                 () -> {
                     connections.send(
@@ -181,7 +184,7 @@
         return send(connections, id, "");
     }
 
-    /** Sends a request and waits for what becomes of it. */
+    /** Sends a request and awaits its outcome. */
     private String send(TargetConnections connections, String id, String body)
             throws InterruptedException {
         thread.call(
@@ -193,10 +196,10 @@
                             connection -> used[0] = connection);
                     return Promise.complete();
                 });
-        return told.poll(10, TimeUnit.SECONDS);
+        return results.poll(10, TimeUnit.SECONDS);
     }
 
-    /** Records an answer and keeps its connection. */
+    /** Records a response and returns its connection to the pool. */
     private final class Recorder implements AnswerListener {
 
         private final TargetConnections connections;
@@ -229,13 +232,14 @@
         @Override
         public void ended() {
             connections.keep(used[0], 0);
-            // Told behind the present batch of bytes, so that stray ones behind the answer count.
-            thread.loop().postLast(() -> told.add("ended " + body));
+            // Postponed so that stray bytes after the response in the same read are processed
+            // first.
+            thread.loop().postLast(() -> results.add("ended " + body));
         }
 
         @Override
         public void failed(AnswerFailure failure) {
-            told.add("failed " + failure);
+            results.add("failed " + failure);
         }
     }
 }
