--- a/src/main/java/org/martenwell/target/CacheEvent.java
+++ b/src/main/java/org/martenwell/target/CacheEvent.java
@@ -1,10 +1,10 @@
 package org.martenwell.target;
 
 /**
- * A change in an engine's prefix cache, told late or not at all.
+ * A change in an engine's prefix cache. Events may be delayed or missing.
  *
- * @param number The event's number at its target, growing with gaps.
+ * @param number The sequence number at its target, increasing with gaps.
  * @param prefix The hash of the prefix.
- * @param held {@code true} if it is held now, {@code false} if it was dropped.
+ * @param held {@code true} if the prefix was added, {@code false} if it was evicted.
  */
 public record CacheEvent(long number, long prefix, boolean held) {}
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -21,32 +21,32 @@
 import org.martenwell.json.Json;
 
 /**
- * Targets over HTTP. Models are asked in the OpenAI form with server-sent events whose ids number
- * the pieces; a broken stream goes on with {@code Last-Event-ID}, as the HTML standard defines it.
+ * Connects to targets over HTTP. Models use the OpenAI API with server-sent events; the ids of the
+ * events allow an interrupted stream to be resumed with {@code Last-Event-ID}, as the HTML standard
+ * defines it.
  */
 public final class HttpTargetConnector implements TargetConnector {
 
-    /** How long a call other than a request may take, in milliseconds. */
-    private static final long TIMEOUT_MILLIS = 2_000;
+    /** The timeout of calls other than {@link #start}, in milliseconds. */
+    private static final long CALL_TIMEOUT_MILLIS = 2_000;
 
-    /** The body of a request without one. */
     private static final byte[] NO_BODY = {};
 
-    /** Sends requests that may be sent again. */
+    /** Sends repeatable requests over pooled connections. */
     private final HttpCalls pooled;
 
-    /** Sends requests that may not be sent again, each over a connection of its own. */
-    private final HttpCalls single;
+    /** Sends requests that must not be repeated, each over a new connection. */
+    private final HttpCalls unpooled;
 
     /**
      * Creates a connector.
      *
-     * @param pooled Sends requests that may be sent again.
-     * @param single Sends requests that may not be sent again, each over a connection of its own.
+     * @param pooled Sends repeatable requests over pooled connections.
+     * @param unpooled Sends requests that must not be repeated, each over a new connection.
      */
-    public HttpTargetConnector(HttpCalls pooled, HttpCalls single) {
+    public HttpTargetConnector(HttpCalls pooled, HttpCalls unpooled) {
         this.pooled = pooled;
-        this.single = single;
+        this.unpooled = unpooled;
     }
 
     @Override
@@ -60,7 +60,7 @@
                         url(target, request.pathAndQuery()),
                         headers,
                         request.body());
-        HttpCalls calls = request.repeatable() ? pooled : single;
+        HttpCalls calls = request.repeatable() ? pooled : unpooled;
         return send(calls, message, request.timeoutMillis());
     }
 
@@ -72,132 +72,134 @@
                         url(target, "/v1/streams/" + requestId),
                         List.of(new HeaderField(HeaderFields.LAST_EVENT_ID, lastEvent)),
                         NO_BODY);
-        return send(pooled, message, TIMEOUT_MILLIS);
+        return send(pooled, message, CALL_TIMEOUT_MILLIS);
     }
 
     @Override
     public Promise<Void> cancel(Target target, String requestId) {
-        return exchange(HttpMethod.DELETE, target, "/v1/streams/" + requestId, NO_BODY).toVoid();
+        return call(HttpMethod.DELETE, target, "/v1/streams/" + requestId, NO_BODY).toVoid();
     }
 
     @Override
     public Promise<LoadReport> load(Target target) {
-        return exchange(HttpMethod.GET, target, "/load", NO_BODY)
-                .map(answer -> Json.read(answer.body(), LoadReport.class));
+        return call(HttpMethod.GET, target, "/load", NO_BODY)
+                .map(response -> Json.read(response.body(), LoadReport.class));
     }
 
     @Override
     public Promise<List<CacheEvent>> cacheEvents(Target target, long after) {
-        return exchange(HttpMethod.GET, target, "/cache-events?after=" + after, NO_BODY)
-                .map(answer -> List.of(Json.read(answer.body(), CacheEvent[].class)));
+        return call(HttpMethod.GET, target, "/cache-events?after=" + after, NO_BODY)
+                .map(response -> List.of(Json.read(response.body(), CacheEvent[].class)));
     }
 
     @Override
     public Promise<Void> order(Target target, TargetOrder order) {
-        return exchange(HttpMethod.POST, target, "/orders", Json.write(order)).toVoid();
+        return call(HttpMethod.POST, target, "/orders", Json.write(order)).toVoid();
     }
 
     /**
-     * Sends a request and waits for the answer to begin.
+     * Sends a request and awaits the head of its response.
      *
      * @param calls Sends the request.
      * @param message The request.
-     * @param timeoutMillis How long until the answer must begin, in milliseconds.
-     * @return The beginning of the answer.
+     * @param timeoutMillis The time until the response head must arrive, in milliseconds.
+     * @return The response with its unread body.
      */
     private static Promise<TargetAnswer> send(
             HttpCalls calls, HttpRequest message, long timeoutMillis) {
         Promise<HttpResponse> response = calls.send(message);
-        Promise<HttpResponse> timely = Promises.timeout(Duration.ofMillis(timeoutMillis), response);
-        response.whenResult(late -> closeIfLate(late, timely));
-        return timely.mapException(exception -> failure(message, exception))
-                .map(HttpTargetConnector::answer);
+        Promise<HttpResponse> bounded =
+                Promises.timeout(Duration.ofMillis(timeoutMillis), response);
+        response.whenResult(lateResponse -> closeIfLate(lateResponse, bounded));
+        return bounded.mapException(exception -> toException(message, exception))
+                .map(HttpTargetConnector::toTargetResponse);
     }
 
     /**
-     * Closes a response that came after its time-out, so that nobody else ever gets it.
+     * Closes a response that arrives after its timeout, so that its connection isn't leaked.
      *
      * @param response The response.
-     * @param timely The promise that timed out or not.
+     * @param bounded The promise with the timeout.
      */
-    private static void closeIfLate(HttpResponse response, Promise<HttpResponse> timely) {
-        if (timely.isException() && !response.isRecycled()) {
+    private static void closeIfLate(HttpResponse response, Promise<HttpResponse> bounded) {
+        if (bounded.isException() && !response.isRecycled()) {
             response.takeBodyStream().close();
         }
     }
 
     /**
-     * States the outcome of a request that got no answer.
+     * Maps a transport failure to an exception with the outcome of the request.
      *
      * @param message The request.
      * @param exception The failure.
-     * @return The exception that states the outcome.
+     * @return The exception; its outcome is {@link Outcome#NOT_RUN} if no connection was
+     *     established.
      */
-    private static MartenwellException failure(HttpRequest message, Exception exception) {
+    private static MartenwellException toException(HttpRequest message, Exception exception) {
         if (ConnectFailures.marked(message)) {
             return MartenwellException.of(
-                            ErrorKind.TARGET_FAILED, "The target took no connection.", exception)
+                            ErrorKind.TARGET_FAILED, "Connecting to the target failed.", exception)
                     .withOutcome(Outcome.NOT_RUN);
         }
         if (exception instanceof AsyncTimeoutException) {
             return MartenwellException.of(
-                    ErrorKind.TARGET_TIMEOUT, "The target did not answer in time.", exception);
+                    ErrorKind.TARGET_TIMEOUT,
+                    "The target did not respond within the timeout.",
+                    exception);
         }
-        return MartenwellException.of(ErrorKind.TARGET_FAILED, "The target broke off.", exception);
+        return MartenwellException.of(
+                ErrorKind.TARGET_FAILED,
+                "The connection to the target failed before a response began.",
+                exception);
     }
 
     /**
-     * Reads the beginning of an answer.
+     * Checks the head of a response for a rejection before processing.
      *
      * @param response The response.
-     * @return The beginning of the answer.
+     * @return The response with its unread body.
      */
-    private static TargetAnswer answer(HttpResponse response) {
+    private static TargetAnswer toTargetResponse(HttpResponse response) {
         List<HeaderField> headers = HeaderFields.read(response);
         if (HeaderFields.find(headers, HeaderFields.NOT_STARTED).isPresent()) {
             response.takeBodyStream().close();
             throw MartenwellException.of(
-                    ErrorKind.TARGET_REFUSED, "The target refused before it started.");
+                    ErrorKind.TARGET_REFUSED,
+                    "The target rejected the request before processing it.");
         }
         return new TargetAnswer(response.getCode(), headers, response.takeBodyStream());
     }
 
     /**
-     * Makes a short call.
+     * Makes a short call and requires a status below 300.
      *
      * @param method The method.
      * @param target The target.
      * @param path The path and query.
-     * @param body The body.
-     * @return The answer, which is a success.
+     * @param body The request body.
+     * @return The complete response.
      */
-    private Promise<HttpAnswer> exchange(
-            HttpMethod method, Target target, String path, byte[] body) {
-        return pooled.exchange(method, url(target, path), List.of(), body, TIMEOUT_MILLIS)
+    private Promise<HttpAnswer> call(HttpMethod method, Target target, String path, byte[] body) {
+        return pooled.exchange(method, url(target, path), List.of(), body, CALL_TIMEOUT_MILLIS)
                 .mapException(
                         exception ->
                                 MartenwellException.of(
                                         ErrorKind.TARGET_FAILED,
-                                        "The target did not answer.",
+                                        "The call to the target failed.",
                                         exception))
                 .map(
-                        answer -> {
-                            if (answer.status() >= 300) {
+                        response -> {
+                            if (response.status() >= 300) {
                                 throw MartenwellException.of(
                                         ErrorKind.TARGET_REFUSED,
-                                        "The target answered " + answer.status() + ".");
+                                        "The target responded with status "
+                                                + response.status()
+                                                + ".");
                             }
-                            return answer;
+                            return response;
                         });
     }
 
-    /**
-     * Builds a URL at a target.
-     *
-     * @param target The target.
-     * @param pathAndQuery The path and query.
-     * @return The URL.
-     */
     private static String url(Target target, String pathAndQuery) {
         return "http://" + target.address() + pathAndQuery;
     }
--- a/src/main/java/org/martenwell/target/TargetAnswer.java
+++ b/src/main/java/org/martenwell/target/TargetAnswer.java
@@ -6,9 +6,9 @@
 import org.martenwell.http.HeaderField;
 
 /**
- * The beginning of a target's answer. Whoever holds it must read the body to its end or close it.
+ * A target's response with its unread body. The body must be read to its end or closed.
  *
- * @param status The HTTP status.
+ * @param status The HTTP status code.
  * @param headers The header fields.
  * @param body The body, piece by piece.
  */
--- a/src/main/java/org/martenwell/target/TargetConnector.java
+++ b/src/main/java/org/martenwell/target/TargetConnector.java
@@ -5,8 +5,8 @@
 import org.martenwell.configuration.Target;
 
 /**
- * Talks to targets. A failed call carries an outcome: {@code not-run} only if no byte of the
- * request was written or the target said that it had not started.
+ * The operations on targets. A failed call carries an outcome, which is {@code not-run} only if no
+ * byte of the request was written or the target declared that it had not started processing.
  */
 public interface TargetConnector {
 
@@ -15,31 +15,31 @@
      *
      * @param target The target.
      * @param request The request.
-     * @return The beginning of the answer.
+     * @return The response, once its head has arrived.
      */
     Promise<TargetAnswer> start(Target target, TargetRequest request);
 
     /**
-     * Goes on with a broken stream.
+     * Resumes an interrupted stream.
      *
      * @param target The target.
-     * @param requestId The request's id.
-     * @param lastEvent The last event that arrived whole.
-     * @return The beginning of the rest.
+     * @param requestId The id of the request that started the stream.
+     * @param lastEvent The id of the last event received completely.
+     * @return The response with the events after it.
      */
     Promise<TargetAnswer> resume(Target target, String requestId, String lastEvent);
 
     /**
-     * Ends a request whose answer nobody wants any more.
+     * Cancels a request whose response is no longer needed.
      *
      * @param target The target.
      * @param requestId The request's id.
-     * @return Completes once the target knows.
+     * @return Completes once the target has confirmed.
      */
     Promise<Void> cancel(Target target, String requestId);
 
     /**
-     * Asks a target for its load.
+     * Queries a target's load.
      *
      * @param target The target.
      * @return Its report.
@@ -47,20 +47,20 @@
     Promise<LoadReport> load(Target target);
 
     /**
-     * Asks a target for changes in its prefix cache.
+     * Queries changes of a target's prefix cache.
      *
      * @param target The target.
-     * @param after The number of the last known event.
-     * @return Later events.
+     * @param after The number of the last event received, 0 for none.
+     * @return The events after it.
      */
     Promise<List<CacheEvent>> cacheEvents(Target target, long after);
 
     /**
-     * Gives a target an order.
+     * Orders a target to load or unload a model.
      *
      * @param target The target.
      * @param order The order.
-     * @return Completes if the target obeyed.
+     * @return Completes once the target has accepted the order, and fails if it rejects it.
      */
     Promise<Void> order(Target target, TargetOrder order);
 }
--- a/src/main/java/org/martenwell/target/package-info.java
+++ b/src/main/java/org/martenwell/target/package-info.java
@@ -1,2 +1,2 @@
-/** Targets, behind an interface that hides their wire form. */
+/** Communication with targets, independent of the transport. */
 package org.martenwell.target;
--- a/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
+++ b/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
@@ -19,7 +19,7 @@
 import org.martenwell.standin.StandinTarget;
 import org.martenwell.standin.TargetSettings;
 
-/** The engine's verbs against the stand-in. */
+/** Tests the connector against a stand-in target. */
 class HttpTargetConnectorTest {
 
     private final List<String> ports = LoopbackPorts.free(2);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void testCacheEventsTellThePrefixesOfPrompts() {
+    void testCacheEventsReportPromptPrefixes() {
         start("one");
         start("one");
         start("two");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void testOrderWithAnOldFenceIsRefused() {
+    void testOrderWithAnOutdatedFenceIsRejected() {
         loop.call(() -> connector.order(target, new TargetOrder(5, "m", true)));
         assertThatThrownBy(
                         () ->
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void testTargetThatTakesNoConnectionDidNotRun() {
+    void testFailedConnectionHasOutcomeNotRun() {
         assertThatThrownBy(
                         () -> loop.call(() -> connector.start(target(ports.get(1)), request("x"))))
                 .isInstanceOfSatisfying(
@@ -87,11 +87,11 @@
     }
 
     private void start(String prompt) {
-        TargetAnswer answer = loop.call(() -> connector.start(target, request(prompt)));
-        assertThat(answer.status()).isEqualTo(200);
+        TargetAnswer response = loop.call(() -> connector.start(target, request(prompt)));
+        assertThat(response.status()).isEqualTo(200);
         loop.call(
                 () -> {
-                    answer.body().close();
+                    response.body().close();
                     return Promise.complete();
                 });
     }
