--- a/src/main/java/org/martenwell/stream/EventBatch.java
+++ b/src/main/java/org/martenwell/stream/EventBatch.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * Whole events that arrived together.
+ * Complete server-sent events that were received together.
  *
- * @param bytes The events as they arrived, not copied.
- * @param count How many they are, the end marker not counted.
- * @param lastId The id of the last one that has an id.
- * @param ended {@code true} if the end marker is among them.
+ * @param bytes The events as received, without carriage returns.
+ * @param count The number of data lines, without the end marker.
+ * @param lastId The id of the last event that has one, or empty.
+ * @param ended {@code true} if the end marker is among the events.
  */
 public record EventBatch(EventBytes bytes, int count, Optional<String> lastId, boolean ended) {}
--- a/src/main/java/org/martenwell/stream/EventBytes.java
+++ b/src/main/java/org/martenwell/stream/EventBytes.java
@@ -1,13 +1,12 @@
 package org.martenwell.stream;
 
-/** Bytes of whole events. */
+/** The bytes of complete events. */
 public final class EventBytes {
 
-    /** The bytes. */
     private final byte[] array;
 
     /**
-     * Wraps bytes.
+     * Wraps a byte array.
      *
      * @param array The bytes, not copied.
      */
@@ -15,20 +14,12 @@
         this.array = array;
     }
 
-    /**
-     * Returns the bytes.
-     *
-     * @return The bytes, not copied.
-     */
+    /** {@return the bytes, not copied} */
     public byte[] array() {
         return array;
     }
 
-    /**
-     * Returns whether there are none.
-     *
-     * @return {@code true} if empty.
-     */
+    /** {@return {@code true} if there are no events} */
     public boolean isEmpty() {
         return array.length == 0;
     }
--- a/src/main/java/org/martenwell/stream/EventSplitter.java
+++ b/src/main/java/org/martenwell/stream/EventSplitter.java
@@ -9,78 +9,74 @@
 import org.martenwell.error.MartenwellException;
 
 /**
- * Cuts a stream of server-sent events behind whole events, so that a caller never gets part of one
- * and a broken stream goes on behind the last whole one. Events end with an empty line.
+ * Splits a stream of server-sent events at event boundaries and reads their ids, so that a caller
+ * never receives part of an event and an interrupted stream resumes after the last complete one.
  */
 public final class EventSplitter {
 
-    /** The largest event, in bytes. */
+    /** The maximum size of an incomplete event. */
     private static final int MAX_EVENT_BYTES = 1 << 20;
 
-    /** The data of the event that ends an OpenAI stream. */
+    /** The data of the event that ends a stream of the OpenAI API. */
     private static final String END_MARKER = "[DONE]";
 
-    /** The bytes behind the last whole event. */
-    private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+    /** The bytes after the last complete event. */
+    private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
 
-    /** {@code true} if the last byte ended a line. */
+    /** Set if the last byte ended a line, so that another line end completes the event. */
     private boolean lineEnded;
 
-    /** Where the last whole event ends in the rest. */
-    private int wholeUntil;
+    /** The number of buffered bytes up to the end of the last complete event. */
+    private int completeLength;
 
     /** Creates a splitter at the start of a stream. */
     public EventSplitter() {}
 
     /**
-     * Takes in bytes.
+     * Adds received bytes. Carriage returns are dropped.
      *
      * @param bytes The bytes.
-     * @return The whole events, possibly none.
+     * @return The events that are now complete, possibly none.
+     * @throws MartenwellException If an incomplete event exceeds the maximum size.
      */
     public EventBatch receive(byte[] bytes) {
         for (byte each : bytes) {
             if (each == '\r') {
                 continue;
             }
-            rest.write(each);
+            incomplete.write(each);
             if (each == '\n') {
                 if (lineEnded) {
-                    wholeUntil = rest.size();
+                    completeLength = incomplete.size();
                 }
                 lineEnded = true;
             } else {
                 lineEnded = false;
             }
         }
-        byte[] all = rest.toByteArray();
-        byte[] whole = Arrays.copyOf(all, wholeUntil);
-        rest.reset();
-        rest.write(all, wholeUntil, all.length - wholeUntil);
-        wholeUntil = 0;
-        if (rest.size() > MAX_EVENT_BYTES) {
-            throw MartenwellException.of(ErrorKind.TARGET_FAILED, "An event is too large.");
+        byte[] all = incomplete.toByteArray();
+        byte[] complete = Arrays.copyOf(all, completeLength);
+        incomplete.reset();
+        incomplete.write(all, completeLength, all.length - completeLength);
+        completeLength = 0;
+        if (incomplete.size() > MAX_EVENT_BYTES) {
+            throw MartenwellException.of(
+                    ErrorKind.TARGET_FAILED, "A server-sent event exceeds 1 MiB.");
         }
-        return batch(whole);
+        return batch(complete);
     }
 
-    /** Drops the bytes behind the last whole event, because the stream broke. */
+    /** Discards the incomplete event of an interrupted stream before it is resumed. */
     public void reset() {
-        rest.reset();
+        incomplete.reset();
         lineEnded = false;
     }
 
-    /**
-     * Reads ids and the end marker of whole events.
-     *
-     * @param whole The events.
-     * @return The batch.
-     */
-    private static EventBatch batch(byte[] whole) {
+    private static EventBatch batch(byte[] complete) {
         int count = 0;
         boolean ended = false;
         Optional<String> lastId = Optional.empty();
-        String text = new String(whole, StandardCharsets.UTF_8);
+        String text = new String(complete, StandardCharsets.UTF_8);
         for (String line : Splitter.on('\n').split(text)) {
             if (line.startsWith("id:")) {
                 lastId = Optional.of(line.substring("id:".length()).strip());
@@ -90,6 +86,6 @@
                 count += marker ? 0 : 1;
             }
         }
-        return new EventBatch(new EventBytes(whole), count, lastId, ended);
+        return new EventBatch(new EventBytes(complete), count, lastId, ended);
     }
 }
--- a/src/main/java/org/martenwell/stream/WholeEvents.java
+++ b/src/main/java/org/martenwell/stream/WholeEvents.java
@@ -6,92 +6,81 @@
 import java.util.Optional;
 
 /**
- * Lets the bytes of a stream of server-sent events through up to the last whole event, unchanged,
- * and remembers that event's id. So a stream that breaks within an event goes on behind the last
- * whole one.
+ * Passes a stream of server-sent events on unchanged, up to the end of the last complete event, and
+ * records its id, so that an interrupted stream can be resumed after this event.
  */
 public final class WholeEvents {
 
-    /** The beginning of a line that holds an id. */
-    private static final String ID = "id:";
+    private static final String ID_FIELD = "id:";
 
-    /** The bytes behind the last whole event. */
-    private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+    /** The bytes after the last complete event. */
+    private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
 
-    /** How many bytes the present line has, its end not counted. */
+    /** The length of the current line without its terminator. */
     private int lineBytes;
 
-    /** The id of the last whole event. */
     private Optional<String> lastId = Optional.empty();
 
     /** Creates a filter at the start of a stream. */
     public WholeEvents() {}
 
     /**
-     * Takes in bytes.
+     * Adds received bytes.
      *
      * @param bytes The bytes.
-     * @return The bytes up to the last whole event, possibly none.
+     * @return The bytes of the events that are now complete, possibly none.
      */
     public byte[] receive(byte[] bytes) {
-        int wholeUntil = 0;
+        int completeLength = 0;
         for (byte each : bytes) {
-            rest.write(each);
+            incomplete.write(each);
             if (each == '\n') {
-                wholeUntil = lineBytes == 0 ? rest.size() : wholeUntil;
+                completeLength = lineBytes == 0 ? incomplete.size() : completeLength;
                 lineBytes = 0;
             } else if (each != '\r') {
                 lineBytes++;
             }
         }
-        if (wholeUntil == 0) {
+        if (completeLength == 0) {
             return new byte[0];
         }
-        byte[] all = rest.toByteArray();
-        rest.reset();
-        rest.write(all, wholeUntil, all.length - wholeUntil);
-        byte[] whole = Arrays.copyOf(all, wholeUntil);
-        readIds(whole);
-        return whole;
+        byte[] all = incomplete.toByteArray();
+        incomplete.reset();
+        incomplete.write(all, completeLength, all.length - completeLength);
+        byte[] complete = Arrays.copyOf(all, completeLength);
+        updateLastId(complete);
+        return complete;
     }
 
     /**
-     * Returns the bytes behind the last whole event, once the stream has ended well.
+     * Returns and clears the bytes after the last complete event, for a stream that has ended
+     * regularly.
      *
      * @return The bytes, possibly none.
      */
     public byte[] tail() {
-        byte[] tail = rest.toByteArray();
+        byte[] tail = incomplete.toByteArray();
         reset();
         return tail;
     }
 
-    /** Drops the bytes behind the last whole event, because the stream broke. */
+    /** Discards the incomplete event of an interrupted stream before it is resumed. */
     public void reset() {
-        rest.reset();
+        incomplete.reset();
         lineBytes = 0;
     }
 
-    /**
-     * Returns the id of the last whole event.
-     *
-     * @return The id or empty if no event had one.
-     */
+    /** {@return the id of the last complete event that has one, or empty} */
     public Optional<String> lastId() {
         return lastId;
     }
 
-    /**
-     * Reads the ids of whole events.
-     *
-     * @param whole The events.
-     */
-    private void readIds(byte[] whole) {
-        String text = new String(whole, StandardCharsets.UTF_8);
-        int line = text.lastIndexOf("\n" + ID) + 1;
-        if (text.startsWith(ID, line)) {
+    private void updateLastId(byte[] complete) {
+        String text = new String(complete, StandardCharsets.UTF_8);
+        int line = text.lastIndexOf("\n" + ID_FIELD) + 1;
+        if (text.startsWith(ID_FIELD, line)) {
             int end = text.indexOf('\n', line);
-            lastId = Optional.of(text.substring(line + ID.length(), end).strip());
+            lastId = Optional.of(text.substring(line + ID_FIELD.length(), end).strip());
         }
     }
 }
--- a/src/main/java/org/martenwell/stream/package-info.java
+++ b/src/main/java/org/martenwell/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Streams of server-sent events: whole events, their numbers, and going on after a break. */
+/** Server-sent events: detection of complete events and of the position to resume a stream from. */
 package org.martenwell.stream;
--- a/src/test/java/org/martenwell/stream/EventSplitterTest.java
+++ b/src/test/java/org/martenwell/stream/EventSplitterTest.java
@@ -18,7 +18,7 @@
             "id: 0\ndata: {\"a\":\"é\"}\n\nid: 1\ndata: {\"b\":2}\n\n: note\n\ndata: [DONE]\n\n";
 
     @Test
-    void testPartOfAnEventIsHeldBack() {
+    void testIncompleteEventIsBuffered() {
         EventSplitter splitter = new EventSplitter();
         assertThat(splitter.receive(bytes("id: 0\ndata: x\n")).bytes().isEmpty()).isTrue();
         EventBatch batch = splitter.receive(bytes("\nid: 1"));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void testResetDropsThePartOfAnEvent() {
+    void testResetDiscardsTheIncompleteEvent() {
         EventSplitter splitter = new EventSplitter();
         splitter.receive(bytes("id: 0\ndata: x"));
         splitter.reset();
@@ -37,30 +37,30 @@
     }
 
     @Test
-    void testCarriageReturnsEndLinesToo() {
+    void testCarriageReturnsBeforeLineFeedsAreIgnored() {
         EventBatch batch = new EventSplitter().receive(bytes("data: x\r\n\r\n"));
         assertThat(batch.count()).isEqualTo(1);
     }
 
     @Property(tries = 500, seed = "1")
-    void testAnyCutsGiveTheSameEvents(
+    void testEventsDoNotDependOnChunkBoundaries(
             @ForAll @Size(max = 12) List<@IntRange(min = 0, max = 70) Integer> cuts) {
         byte[] all = bytes(STREAM);
         int[] ends = cuts.stream().mapToInt(cut -> Math.min(cut, all.length)).sorted().toArray();
         EventSplitter splitter = new EventSplitter();
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
+        ByteArrayOutputStream complete = new ByteArrayOutputStream();
         int start = 0;
         int count = 0;
         boolean ended = false;
         for (int index = 0; index <= ends.length; index++) {
             int end = index == ends.length ? all.length : ends[index];
             EventBatch batch = splitter.receive(Arrays.copyOfRange(all, start, end));
-            whole.writeBytes(batch.bytes().array());
+            complete.writeBytes(batch.bytes().array());
             count += batch.count();
             ended = ended || batch.ended();
             start = end;
         }
-        assertThat(whole.toByteArray()).isEqualTo(all);
+        assertThat(complete.toByteArray()).isEqualTo(all);
         assertThat(count).isEqualTo(2);
         assertThat(ended).isTrue();
     }
--- a/src/test/java/org/martenwell/stream/WholeEventsTest.java
+++ b/src/test/java/org/martenwell/stream/WholeEventsTest.java
@@ -10,12 +10,12 @@
 
 class WholeEventsTest {
 
-    /** Three events, one of them with lines that end as in older programs. */
+    /** Three events, one of them with CRLF line ends. */
     private static final String STREAM =
             "id: 1\ndata: a\n\nversion: 7\r\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
 
     @Property(tries = 300, seed = "11")
-    void testBytesPassUnchangedHoweverTheyAreCut(@ForAll @IntRange(min = 1, max = 20) int size) {
+    void testBytesPassUnchangedForAnyChunkSize(@ForAll @IntRange(min = 1, max = 20) int size) {
         WholeEvents events = new WholeEvents();
         StringBuilder passed = new StringBuilder();
         for (int from = 0; from < STREAM.length(); from += size) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void testPartOfAnEventIsHeldBackAndDropped() {
+    void testIncompleteEventIsBufferedAndDiscarded() {
         WholeEvents events = new WholeEvents();
         assertThat(text(events.receive(bytes("id: 1\ndata: a\n\nid: 2\nda"))))
                 .isEqualTo("id: 1\ndata: a\n\n");
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void testTailIsGivenOnceAStreamEnded() {
+    void testTailIsReturnedAfterTheStreamEnded() {
         WholeEvents events = new WholeEvents();
         assertThat(events.receive(bytes("data: a"))).isEmpty();
         assertThat(text(events.tail())).isEqualTo("data: a");
