--- a/src/main/java/org/martenwell/exchange/HttpCaller.java
+++ b/src/main/java/org/martenwell/exchange/HttpCaller.java
@@ -100,7 +100,7 @@
     }
 
     /** A call whose response is pending. */
-    private final class PendingCall implements AnswerListener {
+    private final class PendingCall implements ResponseListener {
 
         /** {@code false} if the connection closes after this call. */
         private final boolean reuseConnection;
--- a/src/main/java/org/martenwell/exchange/AnswerListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -6,7 +6,7 @@
  * Receives the response to one request, on the event loop. {@link #ended} or {@link #failed} is the
  * last call; neither is called once the connection is cancelled.
  */
-public interface AnswerListener {
+public interface ResponseListener {
 
     /**
      * Decides whether a response matches the request. A response that doesn't is discarded, and the
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -37,7 +37,7 @@
     private final EmbeddedChannel codec = CodecChannels.forTarget(decoder);
 
     /** The listener of the current request, or {@code null} if there is none. */
-    private AnswerListener listener;
+    private ResponseListener listener;
 
     /** The head of the response being received, or {@code null}. */
     private HttpResponse head;
@@ -105,7 +105,7 @@
      * @param request The request, whose {@code Content-Length} header is set here.
      * @param responseListener Receives the response.
      */
-    public void send(TargetRequestHead request, AnswerListener responseListener) {
+    public void send(TargetRequestHead request, ResponseListener responseListener) {
         listener = responseListener;
         head = null;
         discarding = false;
@@ -262,7 +262,7 @@
             head = null;
             discarding = false;
             if (matching && listener != null) {
-                AnswerListener done = listener;
+                ResponseListener done = listener;
                 listener = null;
                 reusable = reusable && unwrittenBytes == 0;
                 done.ended();
@@ -296,7 +296,7 @@
      * @param failure The reason.
      */
     private void fail(AnswerFailure failure) {
-        AnswerListener failed = listener;
+        ResponseListener failed = listener;
         listener = null;
         reusable = false;
         close();
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -5,7 +5,7 @@
 import java.util.regex.Pattern;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.exchange.AnswerFailure;
-import org.martenwell.exchange.AnswerListener;
+import org.martenwell.exchange.ResponseListener;
 import org.martenwell.exchange.TargetConnection;
 import org.martenwell.exchange.TargetRequestHead;
 
@@ -13,7 +13,7 @@
  * One attempt to send a request to one target. It accounts for the request in the target's load and
  * returns the connection to the pool.
  */
-final class SendAttempt implements AnswerListener {
+final class SendAttempt implements ResponseListener {
 
     /** The parameter of the {@code Keep-Alive} header with the idle timeout in seconds. */
     private static final Pattern IDLE_TIMEOUT = Pattern.compile("timeout=(\\d{1,6})");
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -200,7 +200,7 @@
     }
 
     /** Records a response and returns its connection to the pool. */
-    private final class Recorder implements AnswerListener {
+    private final class Recorder implements ResponseListener {
 
         private final TargetConnections connections;
 
