--- a/src/main/java/org/martenwell/exchange/HttpCaller.java
+++ b/src/main/java/org/martenwell/exchange/HttpCaller.java
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void failed(AnswerFailure failure) {
+        public void failed(ResponseFailure failure) {
             timer.cancel();
             connections.closeIdle();
             fail("The internal HTTP call failed: " + failure);
--- a/src/main/java/org/martenwell/exchange/AnswerFailure.java
+++ b/src/main/java/org/martenwell/exchange/ResponseFailure.java
@@ -4,7 +4,7 @@
  * The reasons for which a request to a target received no complete response. The names of the
  * constants appear in log lines.
  */
-public enum AnswerFailure {
+public enum ResponseFailure {
 
     /** Connecting timed out or the address is unreachable; nothing was sent. */
     NOT_CONNECTED(false),
@@ -28,7 +28,7 @@
      *
      * @param sent {@code true} if the target may have processed the request.
      */
-    AnswerFailure(boolean sent) {
+    ResponseFailure(boolean sent) {
         this.sent = sent;
     }
 
@@ -38,7 +38,7 @@
      * @param reach The outcome of the attempt, other than {@link Reach#ACCEPTED}.
      * @return {@link #REFUSED} or {@link #NOT_CONNECTED}.
      */
-    static AnswerFailure of(Reach reach) {
+    static ResponseFailure of(Reach reach) {
         return reach == Reach.REFUSED ? REFUSED : NOT_CONNECTED;
     }
 
--- a/src/main/java/org/martenwell/exchange/ResponseListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -39,5 +39,5 @@
      *
      * @param failure The reason.
      */
-    void failed(AnswerFailure failure);
+    void failed(ResponseFailure failure);
 }
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -212,7 +212,7 @@
 
     private void processPart(HttpObject part) {
         if (part.decoderResult().isFailure()) {
-            fail(head == null ? AnswerFailure.MALFORMED : AnswerFailure.BROKEN_OFF);
+            fail(head == null ? ResponseFailure.MALFORMED : ResponseFailure.BROKEN_OFF);
             return;
         }
         if (part instanceof HttpResponse responseHead) {
@@ -285,7 +285,7 @@
             processDecoded();
         }
         if (listener != null) {
-            fail(head == null ? AnswerFailure.NO_ANSWER : AnswerFailure.BROKEN_OFF);
+            fail(head == null ? ResponseFailure.NO_ANSWER : ResponseFailure.BROKEN_OFF);
         }
         close();
     }
@@ -295,7 +295,7 @@
      *
      * @param failure The reason.
      */
-    private void fail(AnswerFailure failure) {
+    private void fail(ResponseFailure failure) {
         ResponseListener failed = listener;
         listener = null;
         reusable = false;
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -108,7 +108,7 @@
                 .subscribe(
                         (socket, failure) -> {
                             if (failure != null) {
-                                listener.failed(AnswerFailure.of(Reach.of(failure)));
+                                listener.failed(ResponseFailure.of(Reach.of(failure)));
                                 return;
                             }
                             sendOnConnection(wrap(socket), request, listener, opened);
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -12,7 +12,7 @@
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
-import org.martenwell.exchange.AnswerFailure;
+import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.exchange.CallerExchange;
 import org.martenwell.exchange.TargetRequestHead;
 import org.martenwell.prompt.PromptChain;
@@ -353,7 +353,7 @@
         } else if (!core.dialect().genuine(response)
                 && response.status().code() < FIRST_REDIRECTION_STATUS) {
             from.cancel();
-            attemptFailed(from, AnswerFailure.MALFORMED);
+            attemptFailed(from, ResponseFailure.MALFORMED);
         } else if (!relay.begin(response, route)) {
             from.cancel();
             abort();
@@ -439,13 +439,13 @@
      * @param from The attempt.
      * @param failure The failure.
      */
-    void attemptFailed(SendAttempt from, AnswerFailure failure) {
+    void attemptFailed(SendAttempt from, ResponseFailure failure) {
         attempt = null;
         engines.ifPresent(EngineRouting::rollBackSent);
         if (!failure.sent()) {
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
             from.target().load().health().notReached(core.now());
-            if (failure == AnswerFailure.REFUSED) {
+            if (failure == ResponseFailure.REFUSED) {
                 core.harmful().targetCrashed(from.target());
             }
             retryUnreachable();
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -4,7 +4,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.martenwell.balance.RunningRequest;
-import org.martenwell.exchange.AnswerFailure;
+import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.exchange.ResponseListener;
 import org.martenwell.exchange.TargetConnection;
 import org.martenwell.exchange.TargetRequestHead;
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void failed(AnswerFailure failure) {
+    public void failed(ResponseFailure failure) {
         if (!over) {
             over = true;
             target.load().ended(running);
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public void failed(AnswerFailure failure) {
+        public void failed(ResponseFailure failure) {
             results.add("failed " + failure);
         }
     }
