--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -23,7 +23,7 @@
 import org.martenwell.schedule.Assignment;
 import org.martenwell.schedule.Slot;
 import org.martenwell.schedule.WaitingRequest;
-import org.martenwell.target.TargetAnswer;
+import org.martenwell.target.TargetResponse;
 import org.martenwell.target.TargetConnector;
 
 /** Brings requests to targets and their answers back, with retries where they are safe. */
@@ -253,7 +253,7 @@
      * @param answer The beginning of the answer.
      * @return The answer for the caller.
      */
-    private Promise<RoutedAnswer> answered(RequestLife life, Slot slot, TargetAnswer answer) {
+    private Promise<RoutedAnswer> answered(RequestLife life, Slot slot, TargetResponse answer) {
         life.answering();
         chargePrompt(life.request());
         if (life.request().streamed() && answer.status() == 200) {
@@ -283,7 +283,7 @@
      * @param answer The beginning of the answer.
      * @return The answer for the caller.
      */
-    private RoutedAnswer stream(RequestLife life, Slot slot, TargetAnswer answer) {
+    private RoutedAnswer stream(RequestLife life, Slot slot, TargetResponse answer) {
         StreamRelay relay =
                 new StreamRelay(
                         connector,
@@ -308,7 +308,7 @@
      * @param answer The beginning of the answer.
      * @return The answer for the caller.
      */
-    private Promise<RoutedAnswer> readWhole(RequestLife life, Slot slot, TargetAnswer answer) {
+    private Promise<RoutedAnswer> readWhole(RequestLife life, Slot slot, TargetResponse answer) {
         RoutedRequest request = life.request();
         long startedAt = reactor.currentTimeMillis();
         ServiceMeter meter =
@@ -369,7 +369,7 @@
      * @param body Its body.
      * @return The answer for the caller.
      */
-    private static RoutedAnswer whole(TargetAnswer answer, byte[] body) {
+    private static RoutedAnswer whole(TargetResponse answer, byte[] body) {
         List<HeaderField> headers = HeaderFields.forCaller(answer.headers());
         return new RoutedAnswer(
                 answer.status(),
--- a/src/main/java/org/martenwell/router/StreamRelay.java
+++ b/src/main/java/org/martenwell/router/StreamRelay.java
@@ -13,7 +13,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.stream.EventBatch;
 import org.martenwell.stream.EventSplitter;
-import org.martenwell.target.TargetAnswer;
+import org.martenwell.target.TargetResponse;
 import org.martenwell.target.TargetConnector;
 
 /**
@@ -153,7 +153,7 @@
      * @param answer The beginning of the rest.
      * @return The next whole events.
      */
-    private Promise<ByteBuf> resumed(TargetAnswer answer) {
+    private Promise<ByteBuf> resumed(TargetResponse answer) {
         source = answer.body();
         if (isClosed()) {
             source.close();
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public Promise<TargetAnswer> start(Target target, TargetRequest request) {
+    public Promise<TargetResponse> start(Target target, TargetRequest request) {
         List<HeaderField> headers = new ArrayList<>(request.headers());
         headers.add(new HeaderField(HeaderFields.REQUEST_ID, request.id()));
         headers.add(new HeaderField(HeaderFields.PRIORITY, Integer.toString(request.priority())));
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public Promise<TargetAnswer> resume(Target target, String requestId, String lastEvent) {
+    public Promise<TargetResponse> resume(Target target, String requestId, String lastEvent) {
         HttpRequest message =
                 HttpCalls.request(
                         HttpMethod.GET,
@@ -105,7 +105,7 @@
      * @param timeoutMillis The time until the response head must arrive, in milliseconds.
      * @return The response with its unread body.
      */
-    private static Promise<TargetAnswer> send(
+    private static Promise<TargetResponse> send(
             HttpCalls calls, HttpRequest message, long timeoutMillis) {
         Promise<HttpResponse> response = calls.send(message);
         Promise<HttpResponse> bounded =
@@ -159,7 +159,7 @@
      * @param response The response.
      * @return The response with its unread body.
      */
-    private static TargetAnswer toTargetResponse(HttpResponse response) {
+    private static TargetResponse toTargetResponse(HttpResponse response) {
         List<HeaderField> headers = HeaderFields.read(response);
         if (HeaderFields.find(headers, HeaderFields.NOT_STARTED).isPresent()) {
             response.takeBodyStream().close();
@@ -167,7 +167,7 @@
                     ErrorKind.TARGET_REFUSED,
                     "The target rejected the request before processing it.");
         }
-        return new TargetAnswer(response.getCode(), headers, response.takeBodyStream());
+        return new TargetResponse(response.getCode(), headers, response.takeBodyStream());
     }
 
     /**
--- a/src/main/java/org/martenwell/target/TargetConnector.java
+++ b/src/main/java/org/martenwell/target/TargetConnector.java
@@ -17,7 +17,7 @@
      * @param request The request.
      * @return The response, once its head has arrived.
      */
-    Promise<TargetAnswer> start(Target target, TargetRequest request);
+    Promise<TargetResponse> start(Target target, TargetRequest request);
 
     /**
      * Resumes an interrupted stream.
@@ -27,7 +27,7 @@
      * @param lastEvent The id of the last event received completely.
      * @return The response with the events after it.
      */
-    Promise<TargetAnswer> resume(Target target, String requestId, String lastEvent);
+    Promise<TargetResponse> resume(Target target, String requestId, String lastEvent);
 
     /**
      * Cancels a request whose response is no longer needed.
--- a/src/main/java/org/martenwell/target/TargetAnswer.java
+++ b/src/main/java/org/martenwell/target/TargetResponse.java
@@ -12,4 +12,4 @@
  * @param headers The header fields.
  * @param body The body, piece by piece.
  */
-public record TargetAnswer(int status, List<HeaderField> headers, ChannelSupplier<ByteBuf> body) {}
+public record TargetResponse(int status, List<HeaderField> headers, ChannelSupplier<ByteBuf> body) {}
--- a/src/test/java/org/martenwell/router/StreamRelayTest.java
+++ b/src/test/java/org/martenwell/router/StreamRelayTest.java
@@ -21,7 +21,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.target.CacheEvent;
 import org.martenwell.target.LoadReport;
-import org.martenwell.target.TargetAnswer;
+import org.martenwell.target.TargetResponse;
 import org.martenwell.target.TargetConnector;
 import org.martenwell.target.TargetOrder;
 import org.martenwell.target.TargetRequest;
@@ -134,14 +134,14 @@
     private final class FakeConnector implements TargetConnector {
 
         @Override
-        public Promise<TargetAnswer> start(Target target, TargetRequest request) {
+        public Promise<TargetResponse> start(Target target, TargetRequest request) {
             return Promise.ofException(new IOException("unused"));
         }
 
         @Override
-        public Promise<TargetAnswer> resume(Target target, String requestId, String lastEvent) {
+        public Promise<TargetResponse> resume(Target target, String requestId, String lastEvent) {
             log.add("resume " + lastEvent);
-            return Promise.of(new TargetAnswer(200, List.of(), rest.poll()));
+            return Promise.of(new TargetResponse(200, List.of(), rest.poll()));
         }
 
         @Override
--- a/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
+++ b/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
@@ -87,7 +87,7 @@
     }
 
     private void start(String prompt) {
-        TargetAnswer response = loop.call(() -> connector.start(target, request(prompt)));
+        TargetResponse response = loop.call(() -> connector.start(target, request(prompt)));
         assertThat(response.status()).isEqualTo(200);
         loop.call(
                 () -> {
