--- a/src/main/java/org/martenwell/exchange/Reach.java
+++ b/src/main/java/org/martenwell/exchange/ConnectResult.java
@@ -3,7 +3,7 @@
 import java.net.ConnectException;
 
 /** The outcome of an attempt to connect to a target. */
-public enum Reach {
+public enum ConnectResult {
 
     /** The connection is established. */
     ACCEPTED,
@@ -20,7 +20,7 @@
      * @param failure The exception.
      * @return {@link #REFUSED} or {@link #UNREACHABLE}.
      */
-    static Reach of(Exception failure) {
+    static ConnectResult of(Exception failure) {
         return failure instanceof ConnectException ? REFUSED : UNREACHABLE;
     }
 }
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -108,7 +108,7 @@
                 .subscribe(
                         (socket, failure) -> {
                             if (failure != null) {
-                                listener.failed(ResponseFailure.of(Reach.of(failure)));
+                                listener.failed(ResponseFailure.of(ConnectResult.of(failure)));
                                 return;
                             }
                             sendOnConnection(wrap(socket), request, listener, opened);
@@ -120,17 +120,17 @@
      *
      * @param listener Receives the outcome.
      */
-    public void probe(Consumer<Reach> listener) {
+    public void probe(Consumer<ConnectResult> listener) {
         TcpSocket.connect(
                         reactor, address, Duration.ofMillis(connectTimeoutMillis), socketSettings())
                 .subscribe(
                         (socket, failure) -> {
                             if (failure != null) {
-                                listener.accept(Reach.of(failure));
+                                listener.accept(ConnectResult.of(failure));
                                 return;
                             }
                             keep(wrap(socket), 0);
-                            listener.accept(Reach.ACCEPTED);
+                            listener.accept(ConnectResult.ACCEPTED);
                         });
     }
 
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.martenwell.exchange.Reach;
+import org.martenwell.exchange.ConnectResult;
 
 /**
  * Detects whether a target crashed when attempts at it fail, and reports the requests that it had.
@@ -134,9 +134,9 @@
         }
     }
 
-    private void probed(KnownTarget target, Incarnation incarnation, Reach reach) {
+    private void probed(KnownTarget target, Incarnation incarnation, ConnectResult reach) {
         incarnation.probing = false;
-        if (reach == Reach.REFUSED) {
+        if (reach == ConnectResult.REFUSED) {
             target.load().health().notReached(reactor.currentTimeMillis());
             reportCrash(target, incarnation);
         }
