--- a/src/main/java/org/martenwell/exchange/HttpReply.java
+++ b/src/main/java/org/martenwell/exchange/BufferedResponse.java
@@ -6,4 +6,4 @@
  * @param status The status code.
  * @param body The complete body, empty if there is none.
  */
-public record HttpReply(int status, Body body) {}
+public record BufferedResponse(int status, Body body) {}
--- a/src/main/java/org/martenwell/exchange/HttpCaller.java
+++ b/src/main/java/org/martenwell/exchange/HttpCaller.java
@@ -60,7 +60,7 @@
      *     ErrorKind#PLATFORM_UNAVAILABLE}, after which the request may or may not have been
      *     processed.
      */
-    public Promise<HttpReply> call(TargetRequestHead request, long timeoutMillis) {
+    public Promise<BufferedResponse> call(TargetRequestHead request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, true);
         connections.send(request, call, call::opened);
         return call.result;
@@ -75,7 +75,7 @@
      * @param timeoutMillis The timeout of the whole call, in milliseconds.
      * @return The response, or an exception as with {@link #call}.
      */
-    public Promise<HttpReply> callOnNew(TargetRequestHead request, long timeoutMillis) {
+    public Promise<BufferedResponse> callOnNew(TargetRequestHead request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, false);
         connections.sendOnNewConnection(request, call, call::opened);
         return call.result;
@@ -105,7 +105,7 @@
         /** {@code false} if the connection closes after this call. */
         private final boolean reuseConnection;
 
-        private final SettablePromise<HttpReply> result = new SettablePromise<>();
+        private final SettablePromise<BufferedResponse> result = new SettablePromise<>();
 
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
@@ -144,7 +144,7 @@
                 connection.cancel();
             }
             if (!result.isComplete()) {
-                result.set(new HttpReply(status, Body.of(body.toByteArray())));
+                result.set(new BufferedResponse(status, Body.of(body.toByteArray())));
             }
         }
 
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -2,7 +2,7 @@
 
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.exchange.HttpCaller;
-import org.martenwell.exchange.HttpReply;
+import org.martenwell.exchange.BufferedResponse;
 import org.martenwell.prompt.KeptChanges;
 import org.martenwell.prompt.KeptPart;
 import org.martenwell.prompt.PromptChain;
@@ -104,7 +104,7 @@
         }
     }
 
-    private void applyChanges(HttpReply reply) {
+    private void applyChanges(BufferedResponse reply) {
         KeptChanges changes = core.dialect().keptChanges(reply.body());
         since = changes.next();
         changes.parts().forEach(this::applyChange);
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -8,7 +8,7 @@
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.HttpCaller;
-import org.martenwell.exchange.HttpReply;
+import org.martenwell.exchange.BufferedResponse;
 import org.martenwell.exchange.TargetRequestHead;
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.prompt.KeptPart;
@@ -101,7 +101,7 @@
      * @param target The engine.
      * @param reply The answer.
      */
-    private void take(KnownTarget target, HttpReply reply) {
+    private void take(KnownTarget target, BufferedResponse reply) {
         if (reply.status() != OK) {
             return;
         }
