--- a/src/main/java/org/martenwell/exchange/HttpCaller.java
+++ b/src/main/java/org/martenwell/exchange/HttpCaller.java
@@ -60,7 +60,7 @@
      *     ErrorKind#PLATFORM_UNAVAILABLE}, after which the request may or may not have been
      *     processed.
      */
-    public Promise<BufferedResponse> call(TargetRequestHead request, long timeoutMillis) {
+    public Promise<BufferedResponse> call(OutboundRequest request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, true);
         connections.send(request, call, call::opened);
         return call.result;
@@ -75,7 +75,7 @@
      * @param timeoutMillis The timeout of the whole call, in milliseconds.
      * @return The response, or an exception as with {@link #call}.
      */
-    public Promise<BufferedResponse> callOnNew(TargetRequestHead request, long timeoutMillis) {
+    public Promise<BufferedResponse> callOnNew(OutboundRequest request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, false);
         connections.sendOnNewConnection(request, call, call::opened);
         return call.result;
--- a/src/main/java/org/martenwell/exchange/TargetRequestHead.java
+++ b/src/main/java/org/martenwell/exchange/OutboundRequest.java
@@ -11,4 +11,4 @@
  * @param headers The headers, without those that frame the body.
  * @param body The complete body, empty if there is none.
  */
-public record TargetRequestHead(HttpMethod method, String target, HttpHeaders headers, Body body) {}
+public record OutboundRequest(HttpMethod method, String target, HttpHeaders headers, Body body) {}
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -105,7 +105,7 @@
      * @param request The request, whose {@code Content-Length} header is set here.
      * @param responseListener Receives the response.
      */
-    public void send(TargetRequestHead request, ResponseListener responseListener) {
+    public void send(OutboundRequest request, ResponseListener responseListener) {
         listener = responseListener;
         head = null;
         discarding = false;
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -64,7 +64,7 @@
      * @param opened Receives the connection before anything is sent, and may cancel it.
      */
     public void send(
-            TargetRequestHead request, ResponseListener listener, Consumer<TargetConnection> opened) {
+            OutboundRequest request, ResponseListener listener, Consumer<TargetConnection> opened) {
         for (TargetConnection each = idle.poll(); each != null; each = idle.poll()) {
             if (each.usable()) {
                 sendOnConnection(each, request, listener, opened);
@@ -85,7 +85,7 @@
      */
     private static void sendOnConnection(
             TargetConnection connection,
-            TargetRequestHead request,
+            OutboundRequest request,
             ResponseListener listener,
             Consumer<TargetConnection> opened) {
         opened.accept(connection);
@@ -102,7 +102,7 @@
      * @param opened Receives the connection before anything is sent, and may cancel it.
      */
     public void sendOnNewConnection(
-            TargetRequestHead request, ResponseListener listener, Consumer<TargetConnection> opened) {
+            OutboundRequest request, ResponseListener listener, Consumer<TargetConnection> opened) {
         TcpSocket.connect(
                         reactor, address, Duration.ofMillis(connectTimeoutMillis), socketSettings())
                 .subscribe(
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -9,7 +9,7 @@
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.HttpCaller;
 import org.martenwell.exchange.BufferedResponse;
-import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.prompt.KeptPart;
 import org.martenwell.prompt.PromptChain;
@@ -87,8 +87,8 @@
         HttpCaller caller = core.targets().caller(target);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.HOST, target.load().target().address().getHostString());
-        TargetRequestHead request =
-                new TargetRequestHead(
+        OutboundRequest request =
+                new OutboundRequest(
                         HttpMethod.GET, core.dialect().keptPartsPath(), headers, Body.EMPTY);
         caller.call(request, CALL_MILLIS)
                 .whenResult(reply -> take(target, reply))
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.List;
 import org.martenwell.exchange.Body;
-import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.prompt.KeptChanges;
 import org.martenwell.prompt.KeptPart;
 
@@ -96,7 +96,7 @@
      * @param waitMillis The longest time that the target may wait for a change, in milliseconds.
      * @return The request.
      */
-    TargetRequestHead keptChangesRequest(String host, long since, long waitMillis);
+    OutboundRequest keptChangesRequest(String host, long since, long waitMillis);
 
     /**
      * Parses changes of a target's prompt cache.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -14,7 +14,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.exchange.CallerExchange;
-import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.route.EngineTerms;
@@ -309,7 +309,7 @@
         relay.reset(attempt);
         silence.watch(attempt);
         attempt.send(
-                new TargetRequestHead(
+                new OutboundRequest(
                         exchange.request().method(),
                         exchange.request().target(),
                         targetHeaders(id, copyFrom),
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -7,7 +7,7 @@
 import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.exchange.ResponseListener;
 import org.martenwell.exchange.TargetConnection;
-import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.exchange.OutboundRequest;
 
 /**
  * One attempt to send a request to one target. It accounts for the request in the target's load and
@@ -67,7 +67,7 @@
      *
      * @param head The request.
      */
-    void send(TargetRequestHead head) {
+    void send(OutboundRequest head) {
         target.load().sent(running);
         target.connections().send(head, this, this::opened);
     }
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -172,8 +172,8 @@
                 });
     }
 
-    private static TargetRequestHead request(String body) {
-        return new TargetRequestHead(
+    private static OutboundRequest request(String body) {
+        return new OutboundRequest(
                 HttpMethod.GET,
                 "/",
                 DefaultHttpHeadersFactory.headersFactory().newHeaders(),
