--- a/src/main/java/org/martenwell/exchange/HttpCaller.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -14,7 +14,7 @@
  * An HTTP client for this program's own requests to one address. Each call completes or fails
  * within its timeout.
  */
-public final class HttpCaller {
+public final class InternalHttpClient {
 
     /**
      * The timeout of connecting, in milliseconds. It is below the initial TCP retransmission
@@ -32,7 +32,7 @@
      * @param reactor The event loop.
      * @param address The server's address.
      */
-    public HttpCaller(NioReactor reactor, InetSocketAddress address) {
+    public InternalHttpClient(NioReactor reactor, InetSocketAddress address) {
         this(reactor, address, ResponseHeadListener.NONE);
     }
 
@@ -43,7 +43,7 @@
      * @param address The server's address.
      * @param headListener Receives the head of each response.
      */
-    public HttpCaller(
+    public InternalHttpClient(
             NioReactor reactor, InetSocketAddress address, ResponseHeadListener headListener) {
         this.reactor = reactor;
         this.connections =
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -1,7 +1,7 @@
 package org.martenwell.gateway;
 
 import org.martenwell.balance.PlacedPart;
-import org.martenwell.exchange.HttpCaller;
+import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.exchange.BufferedResponse;
 import org.martenwell.prompt.KeptChanges;
 import org.martenwell.prompt.KeptPart;
@@ -32,7 +32,7 @@
 
     private final KnownTarget target;
 
-    private final HttpCaller caller;
+    private final InternalHttpClient caller;
 
     /** The position in the engine's log of changes to continue from. */
     private long since;
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -7,7 +7,7 @@
 import java.util.Collection;
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.exchange.Body;
-import org.martenwell.exchange.HttpCaller;
+import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.exchange.BufferedResponse;
 import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.hash.RendezvousHash;
@@ -84,7 +84,7 @@
             core.reactor().delayBackground(rest, () -> ask(target));
             return;
         }
-        HttpCaller caller = core.targets().caller(target);
+        InternalHttpClient caller = core.targets().caller(target);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.HOST, target.load().target().address().getHostString());
         OutboundRequest request =
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -17,7 +17,7 @@
 import org.martenwell.balance.ReadingRate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
-import org.martenwell.exchange.HttpCaller;
+import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.exchange.KeepAlive;
 import org.martenwell.exchange.TargetConnections;
 
@@ -338,8 +338,8 @@
      * @param target The target.
      * @return The caller, which has connections of its own.
      */
-    HttpCaller caller(KnownTarget target) {
-        return new HttpCaller(
+    InternalHttpClient caller(KnownTarget target) {
+        return new InternalHttpClient(
                 reactor,
                 target.load().target().address(),
                 head -> listener.answered(target.load(), head));
--- a/src/test/java/org/martenwell/ArchitectureTest.java
+++ b/src/test/java/org/martenwell/ArchitectureTest.java
@@ -10,7 +10,7 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
-import org.martenwell.exchange.HttpCaller;
+import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.exchange.TargetConnections;
 
 @AnalyzeClasses(packages = "org.martenwell", importOptions = ImportOption.DoNotIncludeTests.class)
@@ -99,7 +99,7 @@
                     .should()
                     .callConstructorWhere(target(owner(type(TargetConnections.class))))
                     .orShould()
-                    .callConstructorWhere(target(owner(type(HttpCaller.class))));
+                    .callConstructorWhere(target(owner(type(InternalHttpClient.class))));
 
     @ArchTest
     static final ArchRule PACKAGES_FORM_NO_CYCLE =
