--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -7,7 +7,7 @@
 import org.martenwell.exchange.CallerExchange;
 import org.martenwell.route.Route;
 import org.martenwell.route.RouteType;
-import org.martenwell.stream.WholeEvents;
+import org.martenwell.stream.CompleteEventFilter;
 
 /**
  * Forwards the responses of targets to a caller. Streams are forwarded as they arrive, all other
@@ -40,7 +40,7 @@
     private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream();
 
     /** Splits a resumable stream at event boundaries. */
-    private final WholeEvents events = new WholeEvents();
+    private final CompleteEventFilter events = new CompleteEventFilter();
 
     /**
      * Creates a relay that awaits its first attempt.
--- a/src/main/java/org/martenwell/stream/WholeEvents.java
+++ b/src/main/java/org/martenwell/stream/CompleteEventFilter.java
@@ -9,7 +9,7 @@
  * Passes a stream of server-sent events on unchanged, up to the end of the last complete event, and
  * records its id, so that an interrupted stream can be resumed after this event.
  */
-public final class WholeEvents {
+public final class CompleteEventFilter {
 
     private static final String ID_FIELD = "id:";
 
@@ -22,7 +22,7 @@
     private Optional<String> lastId = Optional.empty();
 
     /** Creates a filter at the start of a stream. */
-    public WholeEvents() {}
+    public CompleteEventFilter() {}
 
     /**
      * Adds received bytes.
--- a/src/test/java/org/martenwell/stream/WholeEventsTest.java
+++ b/src/test/java/org/martenwell/stream/CompleteEventFilterTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class WholeEventsTest {
+class CompleteEventFilterTest {
 
     /** Three events, one of them with CRLF line ends. */
     private static final String STREAM =
@@ -16,7 +16,7 @@
 
     @Property(tries = 300, seed = "11")
     void testBytesPassUnchangedForAnyChunkSize(@ForAll @IntRange(min = 1, max = 20) int size) {
-        WholeEvents events = new WholeEvents();
+        CompleteEventFilter events = new CompleteEventFilter();
         StringBuilder passed = new StringBuilder();
         for (int from = 0; from < STREAM.length(); from += size) {
             String piece = STREAM.substring(from, Math.min(STREAM.length(), from + size));
@@ -29,7 +29,7 @@
 
     @Test
     void testIncompleteEventIsBufferedAndDiscarded() {
-        WholeEvents events = new WholeEvents();
+        CompleteEventFilter events = new CompleteEventFilter();
         assertThat(text(events.receive(bytes("id: 1\ndata: a\n\nid: 2\nda"))))
                 .isEqualTo("id: 1\ndata: a\n\n");
         events.reset();
@@ -40,7 +40,7 @@
 
     @Test
     void testTailIsReturnedAfterTheStreamEnded() {
-        WholeEvents events = new WholeEvents();
+        CompleteEventFilter events = new CompleteEventFilter();
         assertThat(events.receive(bytes("data: a"))).isEmpty();
         assertThat(text(events.tail())).isEqualTo("data: a");
         assertThat(events.lastId()).isEmpty();
