--- a/src/main/java/org/martenwell/exchange/CallerExchange.java
+++ b/src/main/java/org/martenwell/exchange/CallerExchange.java
@@ -66,7 +66,7 @@
      *
      * @param listener Called at most once, on the event loop.
      */
-    public void onLeave(Runnable listener) {
+    public void onDisconnect(Runnable listener) {
         disconnectListener = listener;
     }
 
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -159,7 +159,7 @@
         long timeout =
                 Math.min(route.timeoutMillis(), metadata.waitMillis().orElse(Long.MAX_VALUE));
         deadlineMillis = arrivedMillis + timeout;
-        exchange.onLeave(this::callerDisconnected);
+        exchange.onDisconnect(this::callerDisconnected);
         deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
         silence = new SilenceWatch(core, route, this::targetSilent);
         identity =
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -168,7 +168,7 @@
      */
     private void handle(CallerExchange exchange) {
         CallerRequest request = exchange.request();
-        exchange.onLeave(() -> abandoned.add(exchange));
+        exchange.onDisconnect(() -> abandoned.add(exchange));
         exchanges.add(exchange);
         if (!request.path().equals("/wait")) {
             boolean echo = request.path().equals("/echo");
