--- a/src/main/java/org/martenwell/exchange/CallerExchange.java
+++ b/src/main/java/org/martenwell/exchange/CallerExchange.java
@@ -57,7 +57,7 @@
      * {@return the number of response bytes that are not yet written to the socket, as when the
      * caller reads slowly}
      */
-    public int unreadBytes() {
+    public int unwrittenBytes() {
         return connection.unwrittenBytes();
     }
 
--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -93,7 +93,7 @@
         }
         beginStream();
         exchange.write(resumable ? events.receive(chunk) : chunk);
-        if (exchange.unreadBytes() > MAX_UNREAD_BYTES) {
+        if (exchange.unwrittenBytes() > MAX_UNREAD_BYTES) {
             source.pause();
             scheduleBacklogCheck(source);
         }
@@ -162,7 +162,7 @@
         if (paused != source || exchange.finished()) {
             return;
         }
-        if (exchange.unreadBytes() > MAX_UNREAD_BYTES / 2) {
+        if (exchange.unwrittenBytes() > MAX_UNREAD_BYTES / 2) {
             scheduleBacklogCheck(paused);
         } else {
             paused.resume();
