--- a/src/main/java/org/martenwell/exchange/CallerExchange.java
+++ b/src/main/java/org/martenwell/exchange/CallerExchange.java
@@ -18,7 +18,7 @@
     private Runnable disconnectListener = () -> {};
 
     /** Set once the response head is sent. */
-    private boolean begun;
+    private boolean headSent;
 
     /** Set once the exchange is responded to, aborted or abandoned by the caller. */
     private boolean finished;
@@ -42,8 +42,8 @@
     }
 
     /** {@return {@code true} once the response head is sent} */
-    public boolean begun() {
-        return begun;
+    public boolean headSent() {
+        return headSent;
     }
 
     /**
@@ -82,7 +82,7 @@
             return;
         }
         finished = true;
-        begun = true;
+        headSent = true;
         connection.respond(status, headers, body, keepAlive);
     }
 
@@ -96,7 +96,7 @@
         if (finished) {
             return;
         }
-        begun = true;
+        headSent = true;
         connection.begin(status, headers, keepAlive);
     }
 
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -459,7 +459,7 @@
                         identity.fingerprint());
         from.target().load().health().failed(core.now());
         history.markPossiblyRun();
-        boolean resumable = !exchange.begun() || route.resumable();
+        boolean resumable = !exchange.headSent() || route.resumable();
         if (route.repeatable() && resumable) {
             core.harmful().attemptFailed(from.target(), identity, this::retryFailed);
         } else {
@@ -556,7 +556,7 @@
      * @param retrySeconds The delay after which the caller may retry, in seconds, or 0.
      */
     private void fail(ErrorKind kind, double retrySeconds) {
-        if (exchange.begun()) {
+        if (exchange.headSent()) {
             logFailure(ErrorKind.STREAM_BROKEN);
             abort();
         } else if (history.mayHaveRun() && NOT_RUN_STATUSES.contains(kind.status())) {
--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -77,7 +77,7 @@
     boolean begin(HttpResponse response, Route route) {
         head = response;
         streaming = status() == OK && route.type() == RouteType.STREAMING;
-        return streaming || !exchange.begun();
+        return streaming || !exchange.headSent();
     }
 
     /**
@@ -148,7 +148,7 @@
     }
 
     private void beginStream() {
-        if (!exchange.begun()) {
+        if (!exchange.headSent()) {
             exchange.begin(OK, core.dialect().forCaller(head.headers()));
         }
     }
