--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -75,7 +75,8 @@
      * @param timeoutMillis The timeout of the whole call, in milliseconds.
      * @return The response, or an exception as with {@link #call}.
      */
-    public Promise<BufferedResponse> callOnNewConnection(OutboundRequest request, long timeoutMillis) {
+    public Promise<BufferedResponse> callOnNewConnection(
+            OutboundRequest request, long timeoutMillis) {
         PendingCall call = begin(timeoutMillis, false);
         connections.sendOnNewConnection(request, call, call::opened);
         return call.result;
--- a/src/main/java/org/martenwell/exchange/ResponseDecoder.java
+++ b/src/main/java/org/martenwell/exchange/ResponseDecoder.java
@@ -6,7 +6,7 @@
 
 /**
  * Decodes HTTP responses of a target. The request method is needed because responses to {@code
- * HEAD} have no body whatever their headers say.
+ * HEAD} have no body even if their headers announce one.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
--- a/src/main/java/org/martenwell/exchange/ResponseFailure.java
+++ b/src/main/java/org/martenwell/exchange/ResponseFailure.java
@@ -35,11 +35,11 @@
     /**
      * Maps a failed connection attempt to a failure.
      *
-     * @param reach The outcome of the attempt, other than {@link ConnectResult#ACCEPTED}.
+     * @param result The outcome of the attempt, other than {@link ConnectResult#ACCEPTED}.
      * @return {@link #REFUSED} or {@link #NOT_CONNECTED}.
      */
-    static ResponseFailure of(ConnectResult reach) {
-        return reach == ConnectResult.REFUSED ? REFUSED : NOT_CONNECTED;
+    static ResponseFailure of(ConnectResult result) {
+        return result == ConnectResult.REFUSED ? REFUSED : NOT_CONNECTED;
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -1,8 +1,8 @@
 package org.martenwell.gateway;
 
 import org.martenwell.balance.PlacedPart;
-import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.exchange.BufferedResponse;
+import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.prompt.KeptChanges;
 import org.martenwell.prompt.KeptPart;
 import org.martenwell.prompt.PromptChain;
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -4,10 +4,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.martenwell.balance.RunningRequest;
+import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.exchange.ResponseListener;
 import org.martenwell.exchange.TargetConnection;
-import org.martenwell.exchange.OutboundRequest;
 
 /**
  * One attempt to send a request to one target. It accounts for the request in the target's load and
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -23,8 +23,8 @@
 import org.martenwell.schedule.Assignment;
 import org.martenwell.schedule.Slot;
 import org.martenwell.schedule.WaitingRequest;
-import org.martenwell.target.TargetResponse;
 import org.martenwell.target.TargetConnector;
+import org.martenwell.target.TargetResponse;
 
 /** Brings requests to targets and their answers back, with retries where they are safe. */
 public final class RequestDispatcher {
--- a/src/main/java/org/martenwell/router/StreamRelay.java
+++ b/src/main/java/org/martenwell/router/StreamRelay.java
@@ -13,8 +13,8 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.stream.EventBatch;
 import org.martenwell.stream.EventSplitter;
-import org.martenwell.target.TargetResponse;
 import org.martenwell.target.TargetConnector;
+import org.martenwell.target.TargetResponse;
 
 /**
  * Passes an engine's stream on to a caller, whole events at a time and only as fast as the caller
--- a/src/main/java/org/martenwell/target/TargetResponse.java
+++ b/src/main/java/org/martenwell/target/TargetResponse.java
@@ -12,4 +12,5 @@
  * @param headers The header fields.
  * @param body The body, piece by piece.
  */
-public record TargetResponse(int status, List<HeaderField> headers, ChannelSupplier<ByteBuf> body) {}
+public record TargetResponse(
+        int status, List<HeaderField> headers, ChannelSupplier<ByteBuf> body) {}
--- a/src/test/java/org/martenwell/router/StreamRelayTest.java
+++ b/src/test/java/org/martenwell/router/StreamRelayTest.java
@@ -21,10 +21,10 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.target.CacheEvent;
 import org.martenwell.target.LoadReport;
-import org.martenwell.target.TargetResponse;
 import org.martenwell.target.TargetConnector;
 import org.martenwell.target.TargetOrder;
 import org.martenwell.target.TargetRequest;
+import org.martenwell.target.TargetResponse;
 
 class StreamRelayTest {
 
