--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -107,7 +107,7 @@
         reactor.delayBackground(VERDICT_TIMEOUT_MILLIS, () -> runWaiting(incarnation));
         if (!incarnation.probing) {
             incarnation.probing = true;
-            target.connections().probe(reach -> probed(target, incarnation, reach));
+            target.connections().probe(result -> probed(target, incarnation, result));
         }
     }
 
@@ -134,9 +134,9 @@
         }
     }
 
-    private void probed(KnownTarget target, Incarnation incarnation, ConnectResult reach) {
+    private void probed(KnownTarget target, Incarnation incarnation, ConnectResult result) {
         incarnation.probing = false;
-        if (reach == ConnectResult.REFUSED) {
+        if (result == ConnectResult.REFUSED) {
             target.load().health().notReached(reactor.currentTimeMillis());
             reportCrash(target, incarnation);
         }
