--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -176,7 +176,7 @@
             // Idle connections may be dead for the same reason, and each would cost a call its
             // timeout.
             connections.closeIdle();
-            fail("The internal HTTP call timed out.");
+            fail("The internal HTTP call took too long.");
         }
 
         private void fail(String message) {
