--- /dev/null
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -0,0 +1,43 @@
+package org.martenwell.exchange;
+
+import io.netty.handler.codec.http.HttpResponse;
+
+/**
+ * Receives the response to one request, on the event loop. {@link #ended} or {@link #failed} is the
+ * last call; neither is called once the connection is cancelled.
+ */
+public interface ResponseListener {
+
+    /**
+     * Decides whether a response matches the request. A response that doesn't is discarded, and the
+     * next one on the connection is awaited.
+     *
+     * @param head The response head.
+     * @return {@code true} if the response matches.
+     */
+    boolean belongs(HttpResponse head);
+
+    /**
+     * Called with the head of the matching response.
+     *
+     * @param head The response head.
+     */
+    void begun(HttpResponse head);
+
+    /**
+     * Called for each non-empty piece of the response body.
+     *
+     * @param piece The bytes, owned by the listener.
+     */
+    void received(byte[] piece);
+
+    /** Called once the complete response has arrived. */
+    void ended();
+
+    /**
+     * Called when no complete response can arrive any more.
+     *
+     * @param failure The reason.
+     */
+    void failed(ResponseFailure failure);
+}
--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -7,9 +7,9 @@
 import java.util.Collection;
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.exchange.Body;
-import org.martenwell.exchange.HttpCaller;
-import org.martenwell.exchange.HttpReply;
-import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.exchange.BufferedResponse;
+import org.martenwell.exchange.InternalHttpClient;
+import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.prompt.KeptPart;
 import org.martenwell.prompt.PromptChain;
@@ -82,11 +82,11 @@
             core.reactor().delayBackground(pauseMillis, () -> requestParts(target));
             return;
         }
-        HttpCaller caller = core.targets().caller(target);
+        InternalHttpClient caller = core.targets().caller(target);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.HOST, target.load().target().address().getHostString());
-        TargetRequestHead request =
-                new TargetRequestHead(
+        OutboundRequest request =
+                new OutboundRequest(
                         HttpMethod.GET, core.dialect().keptPartsPath(), headers, Body.EMPTY);
         caller.call(request, TIMEOUT_MILLIS)
                 .whenResult(reply -> storeParts(target, reply))
@@ -100,7 +100,7 @@
      * @param target The engine.
      * @param reply The engine's response.
      */
-    private void storeParts(KnownTarget target, HttpReply reply) {
+    private void storeParts(KnownTarget target, BufferedResponse reply) {
         if (reply.status() != OK) {
             return;
         }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -12,9 +12,9 @@
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
-import org.martenwell.exchange.AnswerFailure;
 import org.martenwell.exchange.CallerExchange;
-import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.exchange.OutboundRequest;
+import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.route.EngineTerms;
@@ -159,7 +159,7 @@
         long timeout =
                 Math.min(route.timeoutMillis(), metadata.waitMillis().orElse(Long.MAX_VALUE));
         deadlineMillis = arrivedMillis + timeout;
-        exchange.onLeave(this::callerDisconnected);
+        exchange.onDisconnect(this::callerDisconnected);
         deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
         silence = new StallDetector(core, route, this::targetSilent);
         identity =
@@ -309,7 +309,7 @@
         relay.reset(attempt);
         silence.watch(attempt);
         attempt.send(
-                new TargetRequestHead(
+                new OutboundRequest(
                         exchange.request().method(),
                         exchange.request().target(),
                         targetHeaders(id, copyFrom),
@@ -353,7 +353,7 @@
         } else if (!core.dialect().genuine(response)
                 && response.status().code() < FIRST_REDIRECTION_STATUS) {
             from.cancel();
-            attemptFailed(from, AnswerFailure.MALFORMED);
+            attemptFailed(from, ResponseFailure.MALFORMED);
         } else if (!relay.begin(response, route)) {
             from.cancel();
             abort();
@@ -439,13 +439,13 @@
      * @param from The attempt.
      * @param failure The failure.
      */
-    void attemptFailed(SendAttempt from, AnswerFailure failure) {
+    void attemptFailed(SendAttempt from, ResponseFailure failure) {
         attempt = null;
         engines.ifPresent(EngineRouting::rollBackSent);
         if (!failure.sent()) {
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
             from.target().load().health().notReached(core.now());
-            if (failure == AnswerFailure.REFUSED) {
+            if (failure == ResponseFailure.REFUSED) {
                 core.harmful().targetCrashed(from.target());
             }
             retryUnreachable();
@@ -459,7 +459,7 @@
                         identity.fingerprint());
         from.target().load().health().failed(core.now());
         history.markPossiblyRun();
-        boolean resumable = !exchange.begun() || route.resumable();
+        boolean resumable = !exchange.headSent() || route.resumable();
         if (route.repeatable() && resumable) {
             core.harmful().attemptFailed(from.target(), identity, this::retryFailed);
         } else {
@@ -556,7 +556,7 @@
      * @param retrySeconds The delay after which the caller may retry, in seconds, or 0.
      */
     private void fail(ErrorKind kind, double retrySeconds) {
-        if (exchange.begun()) {
+        if (exchange.headSent()) {
             logFailure(ErrorKind.STREAM_BROKEN);
             abort();
         } else if (history.mayHaveRun() && NOT_RUN_STATUSES.contains(kind.status())) {
--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -7,7 +7,7 @@
 import org.martenwell.exchange.CallerExchange;
 import org.martenwell.route.Route;
 import org.martenwell.route.RouteType;
-import org.martenwell.stream.WholeEvents;
+import org.martenwell.stream.CompleteEventFilter;
 
 /**
  * Forwards the responses of targets to a caller. Streams are forwarded as they arrive, all other
@@ -40,7 +40,7 @@
     private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream();
 
     /** Splits a resumable stream at event boundaries. */
-    private final WholeEvents events = new WholeEvents();
+    private final CompleteEventFilter events = new CompleteEventFilter();
 
     /**
      * Creates a relay that awaits its first attempt.
@@ -77,7 +77,7 @@
     boolean begin(HttpResponse response, Route route) {
         head = response;
         streaming = status() == OK && route.type() == RouteType.STREAMING;
-        return streaming || !exchange.begun();
+        return streaming || !exchange.headSent();
     }
 
     /**
@@ -93,7 +93,7 @@
         }
         beginStream();
         exchange.write(resumable ? events.receive(chunk) : chunk);
-        if (exchange.unreadBytes() > MAX_UNREAD_BYTES) {
+        if (exchange.unwrittenBytes() > MAX_UNREAD_BYTES) {
             source.pause();
             scheduleBacklogCheck(source);
         }
@@ -148,7 +148,7 @@
     }
 
     private void beginStream() {
-        if (!exchange.begun()) {
+        if (!exchange.headSent()) {
             exchange.begin(OK, core.dialect().forCaller(head.headers()));
         }
     }
@@ -162,7 +162,7 @@
         if (paused != source || exchange.finished()) {
             return;
         }
-        if (exchange.unreadBytes() > MAX_UNREAD_BYTES / 2) {
+        if (exchange.unwrittenBytes() > MAX_UNREAD_BYTES / 2) {
             scheduleBacklogCheck(paused);
         } else {
             paused.resume();
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -4,16 +4,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.martenwell.balance.RunningRequest;
-import org.martenwell.exchange.AnswerFailure;
-import org.martenwell.exchange.AnswerListener;
+import org.martenwell.exchange.OutboundRequest;
+import org.martenwell.exchange.ResponseFailure;
+import org.martenwell.exchange.ResponseListener;
 import org.martenwell.exchange.TargetConnection;
-import org.martenwell.exchange.TargetRequestHead;
 
 /**
  * One attempt to send a request to one target. It accounts for the request in the target's load and
  * returns the connection to the pool.
  */
-final class SendAttempt implements AnswerListener {
+final class SendAttempt implements ResponseListener {
 
     /** The parameter of the {@code Keep-Alive} header with the idle timeout in seconds. */
     private static final Pattern IDLE_TIMEOUT = Pattern.compile("timeout=(\\d{1,6})");
@@ -67,7 +67,7 @@
      *
      * @param head The request.
      */
-    void send(TargetRequestHead head) {
+    void send(OutboundRequest head) {
         target.load().sent(running);
         target.connections().send(head, this, this::opened);
     }
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void failed(AnswerFailure failure) {
+    public void failed(ResponseFailure failure) {
         if (!over) {
             over = true;
             target.load().ended(running);
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.martenwell.exchange.Reach;
+import org.martenwell.exchange.ConnectResult;
 
 /**
  * Detects whether a target crashed when attempts at it fail, and reports the requests that it had.
@@ -107,7 +107,7 @@
         reactor.delayBackground(VERDICT_TIMEOUT_MILLIS, () -> runWaiting(incarnation));
         if (!incarnation.probing) {
             incarnation.probing = true;
-            target.connections().probe(reach -> probed(target, incarnation, reach));
+            target.connections().probe(result -> probed(target, incarnation, result));
         }
     }
 
@@ -134,9 +134,9 @@
         }
     }
 
-    private void probed(KnownTarget target, Incarnation incarnation, Reach reach) {
+    private void probed(KnownTarget target, Incarnation incarnation, ConnectResult result) {
         incarnation.probing = false;
-        if (reach == Reach.REFUSED) {
+        if (result == ConnectResult.REFUSED) {
             target.load().health().notReached(reactor.currentTimeMillis());
             reportCrash(target, incarnation);
         }
--- a/src/main/java/org/martenwell/router/StreamRelay.java
+++ b/src/main/java/org/martenwell/router/StreamRelay.java
@@ -13,8 +13,8 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.stream.EventBatch;
 import org.martenwell.stream.EventSplitter;
-import org.martenwell.target.TargetAnswer;
 import org.martenwell.target.TargetConnector;
+import org.martenwell.target.TargetResponse;
 
 /**
  * Passes an engine's stream on to a caller, whole events at a time and only as fast as the caller
@@ -153,7 +153,7 @@
      * @param answer The beginning of the rest.
      * @return The next whole events.
      */
-    private Promise<ByteBuf> resumed(TargetAnswer answer) {
+    private Promise<ByteBuf> resumed(TargetResponse answer) {
         source = answer.body();
         if (isClosed()) {
             source.close();
--- /dev/null
+++ b/src/main/java/org/martenwell/stream/CompleteEventFilter.java
@@ -0,0 +1,86 @@
+package org.martenwell.stream;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.Optional;
+
+/**
+ * Passes a stream of server-sent events on unchanged, up to the end of the last complete event, and
+ * records its id, so that an interrupted stream can be resumed after this event.
+ */
+public final class CompleteEventFilter {
+
+    private static final String ID_FIELD = "id:";
+
+    /** The bytes after the last complete event. */
+    private final ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
+
+    /** The length of the current line without its terminator. */
+    private int lineBytes;
+
+    private Optional<String> lastId = Optional.empty();
+
+    /** Creates a filter at the start of a stream. */
+    public CompleteEventFilter() {}
+
+    /**
+     * Adds received bytes.
+     *
+     * @param bytes The bytes.
+     * @return The bytes of the events that are now complete, possibly none.
+     */
+    public byte[] receive(byte[] bytes) {
+        int completeLength = 0;
+        for (byte each : bytes) {
+            incomplete.write(each);
+            if (each == '\n') {
+                completeLength = lineBytes == 0 ? incomplete.size() : completeLength;
+                lineBytes = 0;
+            } else if (each != '\r') {
+                lineBytes++;
+            }
+        }
+        if (completeLength == 0) {
+            return new byte[0];
+        }
+        byte[] all = incomplete.toByteArray();
+        incomplete.reset();
+        incomplete.write(all, completeLength, all.length - completeLength);
+        byte[] complete = Arrays.copyOf(all, completeLength);
+        updateLastId(complete);
+        return complete;
+    }
+
+    /**
+     * Returns and clears the bytes after the last complete event, for a stream that has ended
+     * regularly.
+     *
+     * @return The bytes, possibly none.
+     */
+    public byte[] tail() {
+        byte[] tail = incomplete.toByteArray();
+        reset();
+        return tail;
+    }
+
+    /** Discards the incomplete event of an interrupted stream before it is resumed. */
+    public void reset() {
+        incomplete.reset();
+        lineBytes = 0;
+    }
+
+    /** {@return the id of the last complete event that has one, or empty} */
+    public Optional<String> lastId() {
+        return lastId;
+    }
+
+    private void updateLastId(byte[] complete) {
+        String text = new String(complete, StandardCharsets.UTF_8);
+        int line = text.lastIndexOf("\n" + ID_FIELD) + 1;
+        if (text.startsWith(ID_FIELD, line)) {
+            int end = text.indexOf('\n', line);
+            lastId = Optional.of(text.substring(line + ID_FIELD.length(), end).strip());
+        }
+    }
+}
--- a/src/main/java/org/martenwell/target/TargetAnswer.java
+++ b/src/main/java/org/martenwell/target/TargetResponse.java
@@ -6,10 +6,11 @@
 import org.martenwell.http.HeaderField;
 
 /**
- * The beginning of a target's answer. Whoever holds it must read the body to its end or close it.
+ * A target's response with its unread body. The body must be read to its end or closed.
  *
- * @param status The HTTP status.
+ * @param status The HTTP status code.
  * @param headers The header fields.
  * @param body The body, piece by piece.
  */
-public record TargetAnswer(int status, List<HeaderField> headers, ChannelSupplier<ByteBuf> body) {}
+public record TargetResponse(
+        int status, List<HeaderField> headers, ChannelSupplier<ByteBuf> body) {}
--- a/src/test/java/org/martenwell/stream/WholeEventsTest.java
+++ b/src/test/java/org/martenwell/stream/CompleteEventFilterTest.java
@@ -8,15 +8,15 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class WholeEventsTest {
+class CompleteEventFilterTest {
 
-    /** Three events, one of them with lines that end as in older programs. */
+    /** Three events, one of them with CRLF line ends. */
     private static final String STREAM =
             "id: 1\ndata: a\n\nversion: 7\r\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n";
 
     @Property(tries = 300, seed = "11")
-    void testBytesPassUnchangedHoweverTheyAreCut(@ForAll @IntRange(min = 1, max = 20) int size) {
-        WholeEvents events = new WholeEvents();
+    void testBytesPassUnchangedForAnyChunkSize(@ForAll @IntRange(min = 1, max = 20) int size) {
+        CompleteEventFilter events = new CompleteEventFilter();
         StringBuilder passed = new StringBuilder();
         for (int from = 0; from < STREAM.length(); from += size) {
             String piece = STREAM.substring(from, Math.min(STREAM.length(), from + size));
@@ -28,8 +28,8 @@
     }
 
     @Test
-    void testPartOfAnEventIsHeldBackAndDropped() {
-        WholeEvents events = new WholeEvents();
+    void testIncompleteEventIsBufferedAndDiscarded() {
+        CompleteEventFilter events = new CompleteEventFilter();
         assertThat(text(events.receive(bytes("id: 1\ndata: a\n\nid: 2\nda"))))
                 .isEqualTo("id: 1\ndata: a\n\n");
         events.reset();
@@ -39,8 +39,8 @@
     }
 
     @Test
-    void testTailIsGivenOnceAStreamEnded() {
-        WholeEvents events = new WholeEvents();
+    void testTailIsReturnedAfterTheStreamEnded() {
+        CompleteEventFilter events = new CompleteEventFilter();
         assertThat(events.receive(bytes("data: a"))).isEmpty();
         assertThat(text(events.tail())).isEqualTo("data: a");
         assertThat(events.lastId()).isEmpty();
