--- a/src/main/java/org/martenwell/hash/KeyedHash.java
+++ b/src/main/java/org/martenwell/hash/KeyedHash.java
@@ -5,14 +5,14 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Creates SipHash-2-4 functions, which nobody without the key can compute. */
+/** Creates SipHash-2-4 functions whose results cannot be predicted without the key. */
 public final class KeyedHash {
 
-    /** Not instantiated. */
     private KeyedHash() {}
 
     /**
-     * Creates a function.
+     * Creates a function whose 128-bit SipHash key is taken from the SHA-256 digest of the given
+     * key.
      *
      * @param key The key, of any length.
      * @return The keyed function.
--- a/src/main/java/org/martenwell/hash/package-info.java
+++ b/src/main/java/org/martenwell/hash/package-info.java
@@ -1,2 +1,2 @@
-/** Hashing that all routers agree on. */
+/** Rendezvous hashing, by which all processes agree on assignments, and keyed hash functions. */
 package org.martenwell.hash;
