--- a/src/main/java/org/martenwell/balance/PromptKeepers.java
+++ b/src/main/java/org/martenwell/balance/PromptKeepers.java
@@ -114,7 +114,7 @@
      * @param chain The prompt's shared parts.
      */
     private void score(TargetLoad load, PromptChain chain) {
-        long score = RendezvousHash.score(load.idHash(), chain.wholeKey());
+        long score = RendezvousHash.score(load.idHash(), chain.lastKey());
         if (first == null || score > firstScore) {
             first = load;
             firstScore = score;
--- a/src/main/java/org/martenwell/prompt/KeptChanges.java
+++ b/src/main/java/org/martenwell/prompt/KeptChanges.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * How what a target keeps of prompts has changed.
+ * Changes of a target's prompt cache since an earlier request for its changes.
  *
- * @param next Where to go on.
- * @param lost Whether changes before these are no longer known to the target.
- * @param parts The parts with what is kept of them now; 0 tokens if they were dropped.
+ * @param next The position in the target's list of changes to continue from.
+ * @param lost {@code true} if the target has discarded earlier changes that were not reported.
+ * @param parts The changed parts; a part with 0 tokens has been evicted.
  */
 public record KeptChanges(long next, boolean lost, List<KeptPart> parts) {}
--- a/src/main/java/org/martenwell/prompt/KeptPart.java
+++ b/src/main/java/org/martenwell/prompt/KeptPart.java
@@ -1,9 +1,9 @@
 package org.martenwell.prompt;
 
 /**
- * A part of prompts that a target keeps.
+ * A prompt part that a target holds in its prompt cache.
  *
- * @param model The model that it was read for.
+ * @param model The model whose requests can use the cached part.
  * @param part The part.
  */
 public record KeptPart(String model, PromptPart part) {}
--- a/src/main/java/org/martenwell/prompt/PromptChain.java
+++ b/src/main/java/org/martenwell/prompt/PromptChain.java
@@ -5,29 +5,21 @@
 import org.martenwell.hash.RendezvousHash;
 
 /**
- * The shared parts at the beginning of a prompt. A kept part only counts if all parts before it are
- * kept as well, for the same model.
+ * The shared prefix of a prompt, as a sequence of parts. A target can use a cached part only if it
+ * has cached all parts before it for the same model.
  */
 public final class PromptChain {
 
-    /** A chain without parts. */
+    /** The chain of a prompt without shared parts. */
     public static final PromptChain EMPTY = new PromptChain(List.of(), List.of());
 
-    /** The keys. */
     private final List<Long> keys;
 
-    /** The sizes in tokens. */
+    /** The sizes of the parts in tokens, in the order of the keys. */
     private final List<Long> tokens;
 
-    /** The size of all parts, in tokens; it is asked for again and again. */
     private final long totalTokens;
 
-    /**
-     * Creates a chain.
-     *
-     * @param keys The keys.
-     * @param tokens The sizes in tokens.
-     */
     private PromptChain(List<Long> keys, List<Long> tokens) {
         this.keys = List.copyOf(keys);
         this.tokens = List.copyOf(tokens);
@@ -35,11 +27,11 @@
     }
 
     /**
-     * Creates the chain of a prompt. Its last part belongs to the request alone and is left out.
+     * Creates the chain of a prompt. The last part is specific to the request and is left out.
      *
      * @param model The model.
-     * @param parts All parts of the prompt.
-     * @return The chain.
+     * @param parts All parts of the prompt, in their order.
+     * @return The chain, empty if the prompt has fewer than two parts.
      */
     public static PromptChain of(String model, List<PromptPart> parts) {
         List<Long> keys = new ArrayList<>();
@@ -52,7 +44,7 @@
     }
 
     /**
-     * Returns the key of a part.
+     * Computes the key by which caches identify a part for a model.
      *
      * @param model The model.
      * @param id The part's id.
@@ -62,11 +54,7 @@
         return RendezvousHash.hash(model + '/' + id);
     }
 
-    /**
-     * Returns how many parts there are.
-     *
-     * @return The number of parts.
-     */
+    /** {@return the number of parts} */
     public int length() {
         return keys.size();
     }
@@ -74,7 +62,7 @@
     /**
      * Returns the key of a part.
      *
-     * @param index The part's index.
+     * @param index The part's index, from 0.
      * @return The key.
      */
     public long key(int index) {
@@ -84,27 +72,19 @@
     /**
      * Returns the size of a part.
      *
-     * @param index The part's index.
+     * @param index The part's index, from 0.
      * @return The size in tokens.
      */
     public long tokens(int index) {
         return tokens.get(index);
     }
 
-    /**
-     * Returns the key of the whole chain.
-     *
-     * @return The last part's key or 0.
-     */
-    public long wholeKey() {
+    /** {@return the key of the last part, 0 if there is none} */
+    public long lastKey() {
         return keys.isEmpty() ? 0 : keys.get(keys.size() - 1);
     }
 
-    /**
-     * Returns the size of the whole chain.
-     *
-     * @return The size in tokens.
-     */
+    /** {@return the total size of all parts, in tokens} */
     public long totalTokens() {
         return totalTokens;
     }
--- a/src/main/java/org/martenwell/prompt/PromptMemory.java
+++ b/src/main/java/org/martenwell/prompt/PromptMemory.java
@@ -4,65 +4,68 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which parts of prompts a target probably keeps: those used last, as far as they fit. */
+/**
+ * A gateway's estimate of a target's prompt cache. When the cache is full, the least recently used
+ * parts are evicted.
+ */
 public final class PromptMemory {
 
-    /** The sizes by key, the longest unused first. */
-    private final Map<Long, Long> kept = new LinkedHashMap<>(16, 0.75f, true);
+    /** The sizes in tokens by key, least recently used first. */
+    private final Map<Long, Long> sizes = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** The sum of the sizes in tokens. */
-    private long keptTokens;
+    /** The total size of the cached parts, in tokens. */
+    private long totalTokens;
 
-    /** Creates an empty memory. */
+    /** Creates the view of an empty cache. */
     public PromptMemory() {}
 
     /**
-     * Notes that a target keeps a part from now on.
+     * Records a part as cached and most recently used, and evicts parts beyond the capacity.
      *
      * @param key The part's key.
-     * @param tokens Its size in tokens.
-     * @param capacity How many tokens of parts the target keeps.
+     * @param tokens The part's size in tokens.
+     * @param capacity The capacity of the target's cache, in tokens.
      */
     public void keep(long key, long tokens, long capacity) {
-        Long before = kept.put(key, tokens);
-        keptTokens += tokens - (before == null ? 0 : before);
-        Iterator<Map.Entry<Long, Long>> oldest = kept.entrySet().iterator();
-        while (keptTokens > capacity && oldest.hasNext()) {
-            keptTokens -= oldest.next().getValue();
+        Long before = sizes.put(key, tokens);
+        totalTokens += tokens - (before == null ? 0 : before);
+        Iterator<Map.Entry<Long, Long>> oldest = sizes.entrySet().iterator();
+        while (totalTokens > capacity && oldest.hasNext()) {
+            totalTokens -= oldest.next().getValue();
             oldest.remove();
         }
     }
 
     /**
-     * Notes that a target no longer keeps a part.
+     * Records that the target has evicted a part.
      *
      * @param key The part's key.
-     * @return {@code true} if it was taken to keep it.
+     * @return {@code true} if the part was recorded as cached.
      */
     public boolean drop(long key) {
-        Long tokens = kept.remove(key);
+        Long tokens = sizes.remove(key);
         if (tokens == null) {
             return false;
         }
-        keptTokens -= tokens;
+        totalTokens -= tokens;
         return true;
     }
 
     /**
-     * Tells whether a target probably keeps a part.
+     * Checks whether a part is recorded as cached.
      *
      * @param key The part's key.
-     * @return {@code true} if it does.
+     * @return {@code true} if it is.
      */
     public boolean keeps(long key) {
-        return kept.containsKey(key);
+        return sizes.containsKey(key);
     }
 
     /**
-     * Notes that a target keeps all parts of a chain.
+     * Records all parts of a chain as cached.
      *
      * @param chain The chain.
-     * @param capacity How many tokens of parts the target keeps.
+     * @param capacity The capacity of the target's cache, in tokens.
      */
     public void keep(PromptChain chain, long capacity) {
         for (int index = 0; index < chain.length(); index++) {
@@ -70,34 +73,30 @@
         }
     }
 
-    /**
-     * Returns whether nothing is kept.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if no part is recorded as cached} */
     public boolean isEmpty() {
-        return kept.isEmpty();
+        return sizes.isEmpty();
     }
 
     /**
-     * Returns all kept parts.
+     * Returns a copy of all cached parts.
      *
      * @return The sizes in tokens by key.
      */
     public Map<Long, Long> kept() {
-        return Map.copyOf(kept);
+        return Map.copyOf(sizes);
     }
 
     /**
-     * Returns how much of a chain is kept.
+     * Returns the size of a chain's cached prefix.
      *
      * @param chain The chain.
-     * @return The tokens up to the first part that is not kept.
+     * @return The tokens of the parts before the first one that is not cached.
      */
     public long keptTokens(PromptChain chain) {
         long tokens = 0;
         for (int index = 0; index < chain.length(); index++) {
-            if (!kept.containsKey(chain.key(index))) {
+            if (!sizes.containsKey(chain.key(index))) {
                 return tokens;
             }
             tokens += chain.tokens(index);
--- a/src/main/java/org/martenwell/prompt/SharedKeys.java
+++ b/src/main/java/org/martenwell/prompt/SharedKeys.java
@@ -3,20 +3,21 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The keys of parts that requests have shared, those seen last. */
+/**
+ * A bounded set of the keys of shared prompt parts. The least recently used key is discarded first.
+ */
 public final class SharedKeys {
 
-    /** How many keys are remembered at most. */
     private static final int MAX_KEYS = 16_384;
 
-    /** The keys, the longest unseen first. */
+    /** The keys, least recently used first. */
     private final Map<Long, Boolean> keys = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** Creates a set that has seen no key. */
+    /** Creates an empty set. */
     public SharedKeys() {}
 
     /**
-     * Notes a shared part.
+     * Adds the key of a shared part, or marks it as most recently used.
      *
      * @param key The part's key.
      */
@@ -28,10 +29,10 @@
     }
 
     /**
-     * Tells whether a part is shared.
+     * Checks whether a part is known to be shared.
      *
      * @param key The part's key.
-     * @return {@code true} if it was seen as one.
+     * @return {@code true} if the set contains its key.
      */
     public boolean contains(long key) {
         return keys.containsKey(key);
--- a/src/main/java/org/martenwell/prompt/package-info.java
+++ b/src/main/java/org/martenwell/prompt/package-info.java
@@ -1,2 +1,5 @@
-/** Prompts as chains of parts, and which parts a target probably keeps. Plain objects. */
+/**
+ * Prompts as sequences of shared parts, and estimates of which parts targets have cached. The
+ * classes are not thread-safe.
+ */
 package org.martenwell.prompt;
--- a/src/test/java/org/martenwell/prompt/PromptMemoryTest.java
+++ b/src/test/java/org/martenwell/prompt/PromptMemoryTest.java
@@ -10,21 +10,21 @@
     private static final PromptChain CHAIN = chain("model", "a", "b", "own");
 
     @Test
-    void testLastPartBelongsToTheRequestAlone() {
+    void testLastPartIsLeftOut() {
         assertThat(CHAIN.length()).isEqualTo(2);
         assertThat(CHAIN.totalTokens()).isEqualTo(200);
         assertThat(PromptChain.of("model", List.of()).length()).isZero();
     }
 
     @Test
-    void testKeysCoverTheModel() {
+    void testKeyDependsOnTheModel() {
         assertThat(chain("model", "a", "b", "x").key(1)).isEqualTo(CHAIN.key(1));
         assertThat(PromptChain.key("model", "b")).isEqualTo(CHAIN.key(1));
         assertThat(chain("other", "a", "b", "x").key(0)).isNotEqualTo(CHAIN.key(0));
     }
 
     @Test
-    void testPartCountsOnlyBehindTheOnesBeforeIt() {
+    void testPartCountsOnlyIfAllPartsBeforeItAreCached() {
         PromptMemory memory = new PromptMemory();
         memory.keep(CHAIN.key(1), 100, 1_000);
         assertThat(memory.keptTokens(CHAIN)).isZero();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void testLongestUnusedPartsAreDroppedFirst() {
+    void testLeastRecentlyUsedPartsAreEvictedFirst() {
         PromptMemory memory = new PromptMemory();
         memory.keep(CHAIN, 300);
         memory.keep(chain("model", "c", "x"), 300);
--- a/src/test/java/org/martenwell/prompt/SharedKeysTest.java
+++ b/src/test/java/org/martenwell/prompt/SharedKeysTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests remembering shared parts and forgetting dropped ones. */
+/** Tests the eviction of shared keys and of cached parts. */
 final class SharedKeysTest {
 
     @Test
-    void testKeysSeenLastAreRemembered() {
+    void testLeastRecentlyUsedKeysAreDiscarded() {
         SharedKeys keys = new SharedKeys();
         for (long key = 0; key < 20_000; key++) {
             keys.seen(0);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void testDroppedPartMakesRoom() {
+    void testEvictedPartFreesCapacity() {
         PromptMemory memory = new PromptMemory();
         memory.keep(1, 60, 100);
         assertThat(memory.drop(1)).isTrue();
