--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -196,10 +196,11 @@
      */
     private static boolean hasRoom(
             TargetLoad load, LoadSums sums, PromptNeed need, ShareTier tier, EngineTerms terms) {
-        double fill = tier.fill();
+        double fillFraction = tier.fillFraction();
         long memory = sums.memoryTokens() + need.ownTokens() + need.answerTokens();
-        return sums.requests() < fill * slots(load, terms)
-                && (sums.requests() == 0 || memory < fill * MEMORY_FILL * terms.memoryTokens());
+        return sums.requests() < fillFraction * slots(load, terms)
+                && (sums.requests() == 0
+                        || memory < fillFraction * MEMORY_FILL * terms.memoryTokens());
     }
 
     /**
@@ -214,7 +215,7 @@
      */
     private static double allowedWait(
             PromptNeed need, ShareTier tier, double reading, ReadingRate rate, long now) {
-        double least = tier.waitPart() * need.objectiveMillis();
+        double least = tier.waitFraction() * need.objectiveMillis();
         if (tier == ShareTier.BEYOND) {
             return least;
         }
--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -13,7 +13,7 @@
 public final class TargetLoad {
 
     /** How old a peer's word may be, in milliseconds. */
-    private static final long PEER_WORD_MILLIS = 1_000;
+    private static final long PEER_EXPIRY_MILLIS = 1_000;
 
     /** What the directory tells. */
     private DirectoryTarget target;
@@ -52,9 +52,9 @@
      * A peer's word.
      *
      * @param sums What it put on the target.
-     * @param heardMillis When it was heard, in milliseconds.
+     * @param receivedMillis When it was heard, in milliseconds.
      */
-    private record PeerLoad(LoadSums sums, long heardMillis) {}
+    private record PeerLoad(LoadSums sums, long receivedMillis) {}
 
     /**
      * Creates the load of a target that has no requests.
@@ -182,7 +182,7 @@
             peerSums = peerSums.minus(before.sums());
         }
         peerSums = peerSums.plus(sums);
-        peersValidUntil = Math.min(peersValidUntil, now + PEER_WORD_MILLIS);
+        peersValidUntil = Math.min(peersValidUntil, now + PEER_EXPIRY_MILLIS);
     }
 
     /**
@@ -213,12 +213,12 @@
      * @param now The present time, in milliseconds.
      */
     private void forgetOldWords(long now) {
-        peers.values().removeIf(each -> now - each.heardMillis() > PEER_WORD_MILLIS);
+        peers.values().removeIf(each -> now - each.receivedMillis() > PEER_EXPIRY_MILLIS);
         peerSums = LoadSums.NONE;
         peersValidUntil = Long.MAX_VALUE;
         for (PeerLoad each : peers.values()) {
             peerSums = peerSums.plus(each.sums());
-            peersValidUntil = Math.min(peersValidUntil, each.heardMillis() + PEER_WORD_MILLIS);
+            peersValidUntil = Math.min(peersValidUntil, each.receivedMillis() + PEER_EXPIRY_MILLIS);
         }
     }
 }
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -3,99 +3,110 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tells whether an organisation is within its fair share of the fleet's capacity. */
+/**
+ * Computes how far each organisation has used its fair share of the fleet's capacity, from the
+ * requests at this gateway and the reports of its peers. All costs are in tokens.
+ */
 public final class FairShares {
 
-    /** How long a computed level is used without peers, in milliseconds. */
-    private static final long LEVEL_MILLIS = 25;
+    /** The age at which computed levels are refreshed, without peers, in milliseconds. */
+    private static final long BASE_REFRESH_MILLIS = 25;
 
-    /** How much longer it is used for each peer, whose words take time to sum up. */
-    private static final long LEVEL_MILLIS_A_PEER = 1;
+    /**
+     * The addition to that age for each peer, since summing up the reports takes longer, in
+     * milliseconds.
+     */
+    private static final long REFRESH_MILLIS_PER_PEER = 1;
 
-    /** How old a peer's word may be, in milliseconds. */
-    private static final long PEER_WORD_MILLIS = 1_500;
+    /** The age at which a peer's report expires, in milliseconds. */
+    private static final long PEER_EXPIRY_MILLIS = 1_500;
 
     /**
-     * The least time over which the capacity is taken to be shared out, in milliseconds. The first
-     * requests behind a start would else find next to none; one large prompt fits into it.
+     * The shortest time for which capacity is shared out, in milliseconds. It leaves room for one
+     * large prompt directly after a start.
      */
-    private static final long LEAST_COUNTED_MILLIS = 500;
+    private static final long MIN_COUNTED_MILLIS = 500;
 
-    /** The window in milliseconds. */
     private final long windowMillis;
 
-    /** What organisations asked here. */
+    /** The cost of the requests received here, by organisation. */
     private final Map<String, SlidingSum> asked = new HashMap<>();
 
-    /** What organisations got here. */
+    /** The cost of the requests sent from here, by organisation. */
     private final Map<String, SlidingSum> begun = new HashMap<>();
 
-    /** What organisations got here within their shares of what the fleet is promised to produce. */
+    /** The cost of the requests sent from here within promised shares, by organisation. */
     private final Map<String, SlidingSum> within = new HashMap<>();
 
-    /** What peers told, by peer. */
-    private final Map<String, PeerWord> peers = new HashMap<>();
+    /** The last report of each peer, by name. */
+    private final Map<String, PeerCounts> peers = new HashMap<>();
 
-    /** What the fleet's organisations asked and got when the level was computed. */
-    private Map<String, ShareSums> fleet = Map.of();
+    /** The sums of the whole fleet at the last computation, by organisation. */
+    private Map<String, ShareSums> fleetSums = Map.of();
 
-    /** The level. */
+    /** The largest share of the promised capacity; infinite if it covers all demands. */
     private double level = Double.POSITIVE_INFINITY;
 
-    /** The level of what the fleet really produced, if that is more than it is promised. */
+    /**
+     * The largest share of the observed capacity, if that exceeds the promised one; else equal to
+     * {@link #level}.
+     */
     private double observedLevel = Double.POSITIVE_INFINITY;
 
-    /** When the level was computed, in milliseconds. */
-    private long levelMillis = Long.MIN_VALUE / 2;
+    /**
+     * The time of the last computation, in milliseconds; initially far in the past without risk of
+     * overflow.
+     */
+    private long computedMillis = Long.MIN_VALUE / 2;
 
-    /** Of what the fleet is promised to produce, the part that is asked for within fair shares. */
+    /** The fraction of the promised capacity that is requested within fair shares. */
     private double askedWithin;
 
-    /** Since when requests are counted without a pause of a window, in milliseconds. */
-    private long countedSince;
+    /** The time of the first request since the last pause of a whole window, in milliseconds. */
+    private long countedSinceMillis;
 
-    /** When the last request was counted, in milliseconds. */
-    private long countedLast = Long.MIN_VALUE / 2;
+    /** The time of the last request, in milliseconds. */
+    private long lastRequestMillis = Long.MIN_VALUE / 2;
 
     /**
-     * A peer's word.
+     * The last report of a peer.
      *
-     * @param counts What organisations asked and got there.
-     * @param heardMillis When it was heard, in milliseconds.
+     * @param counts The counts of the peer.
+     * @param receivedMillis The time of receipt, in milliseconds.
      */
-    private record PeerWord(ShareCounts counts, long heardMillis) {}
+    private record PeerCounts(ShareCounts counts, long receivedMillis) {}
 
     /**
-     * Creates shares of which nothing is used.
+     * Creates shares without any request.
      *
-     * @param windowMillis The window in milliseconds.
+     * @param windowMillis The length of the sliding window, in milliseconds.
      */
     public FairShares(long windowMillis) {
         this.windowMillis = windowMillis;
     }
 
     /**
-     * Notes a request.
+     * Records a request that arrived.
      *
      * @param organisation The organisation.
-     * @param tokens What it asks for, in tokens.
-     * @param now The present time, in milliseconds.
+     * @param tokens The cost of the request, in tokens.
+     * @param now The current time, in milliseconds.
      */
     public void asked(String organisation, double tokens, long now) {
-        if (now - countedLast > windowMillis) {
-            countedSince = now;
+        if (now - lastRequestMillis > windowMillis) {
+            countedSinceMillis = now;
         }
-        countedLast = now;
+        lastRequestMillis = now;
         asked.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis)).add(tokens, now);
     }
 
     /**
-     * Notes that a request was sent to a target.
+     * Records a request that was sent to a target.
      *
      * @param organisation The organisation.
-     * @param tokens Its tokens.
-     * @param tier Which share the request was within.
-     * @param now The present time, in milliseconds.
+     * @param tokens The cost of the request, in tokens.
+     * @param tier The tier in which it was sent.
+     * @param now The current time, in milliseconds.
      */
     public void begun(String organisation, double tokens, ShareTier tier, long now) {
         begun.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis)).add(tokens, now);
@@ -106,38 +117,38 @@
     }
 
     /**
-     * Notes that no target began a request that was noted as sent.
+     * Reverts {@link #begun} for a request that no target has started to process.
      *
      * @param organisation The organisation.
-     * @param tokens Its tokens.
-     * @param tier Which share the request was within when it was sent.
-     * @param sentMillis When it was sent, in milliseconds.
-     * @param now The present time, in milliseconds.
+     * @param tokens The cost of the request, in tokens.
+     * @param tier The tier in which it was sent.
+     * @param sentMillis The time at which it was sent, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public void notBegun(
             String organisation, double tokens, ShareTier tier, long sentMillis, long now) {
-        begun.get(organisation).takeBack(tokens, sentMillis, now);
+        begun.get(organisation).subtract(tokens, sentMillis, now);
         if (tier == ShareTier.PROMISED) {
-            within.get(organisation).takeBack(tokens, sentMillis, now);
+            within.get(organisation).subtract(tokens, sentMillis, now);
         }
     }
 
     /**
-     * Takes in a peer's word.
+     * Replaces the counts of a peer by its latest report.
      *
      * @param peer The peer's name.
-     * @param counts What organisations asked and got there in the last window.
-     * @param now The present time, in milliseconds.
+     * @param counts The peer's counts of the last window.
+     * @param now The current time, in milliseconds.
      */
     public void peer(String peer, ShareCounts counts, long now) {
-        peers.put(peer, new PeerWord(counts, now));
+        peers.put(peer, new PeerCounts(counts, now));
     }
 
     /**
-     * Returns what organisations asked and got here in the last window.
+     * Returns the counts of this gateway for the last window.
      *
-     * @param now The present time, in milliseconds.
-     * @return The sums by organisation and over how long they were counted.
+     * @param now The current time, in milliseconds.
+     * @return The sums by organisation and the time that they cover.
      */
     public ShareCounts own(long now) {
         Map<String, ShareSums> sums = new HashMap<>();
@@ -149,107 +160,101 @@
                 sums.put(each, own);
             }
         }
-        boolean paused = now - countedLast > windowMillis;
-        return new ShareCounts(paused ? 0 : Math.min(windowMillis, now - countedSince), sums);
+        boolean paused = now - lastRequestMillis > windowMillis;
+        return new ShareCounts(paused ? 0 : Math.min(windowMillis, now - countedSinceMillis), sums);
     }
 
-    /**
-     * Returns an organisation's sum.
-     *
-     * @param sums The sums by organisation.
-     * @param organisation The organisation.
-     * @param now The present time, in milliseconds.
-     * @return The sum, 0 if there is none.
-     */
     private static double sum(Map<String, SlidingSum> sums, String organisation, long now) {
         SlidingSum found = sums.get(organisation);
         return found == null ? 0 : found.sum(now);
     }
 
     /**
-     * Tells how much of its fair shares an organisation would have used after a request.
+     * Estimates how far an organisation will have used its fair shares if a request is sent. The
+     * level is recomputed if it is out of date.
      *
      * @param organisation The organisation.
-     * @param tokens The request's tokens.
-     * @param capacity What the fleet is promised to produce in a window, in tokens.
-     * @param now The present time, in milliseconds.
-     * @return What it would have used.
+     * @param tokens The cost of the request, in tokens; half of it counts.
+     * @param capacity The promised capacity of the fleet in a window, in tokens.
+     * @param now The current time, in milliseconds.
+     * @return The used fractions of both shares.
      */
     public ShareUse use(String organisation, double tokens, double capacity, long now) {
-        if (now - levelMillis >= LEVEL_MILLIS + LEVEL_MILLIS_A_PEER * peers.size()) {
+        if (now - computedMillis >= BASE_REFRESH_MILLIS + REFRESH_MILLIS_PER_PEER * peers.size()) {
             compute(capacity, now);
         }
-        ShareSums got = fleet.getOrDefault(organisation, ShareSums.NONE);
-        // What an organisation took while nobody else needed it does not count against its share.
+        ShareSums got = fleetSums.getOrDefault(organisation, ShareSums.NONE);
+        // Requests sent beyond the promised share used idle capacity; they don't count against it.
         return new ShareUse(
                 (got.within() + tokens / 2) / level, (got.begun() + tokens / 2) / observedLevel);
     }
 
     /**
-     * Returns which part of what the fleet is promised to produce was asked for within fair shares
-     * when the shares were last computed.
+     * Returns how much of the promised capacity was requested within fair shares at the last
+     * computation.
      *
-     * @return The part, from 0 to 1.
+     * @return The fraction, from 0 to 1.
      */
     public double askedWithin() {
         return askedWithin;
     }
 
     /**
-     * Returns what the shares were when they were last computed.
+     * Summarises the last computation for the log.
      *
-     * @param most Of how many organisations to tell: those that asked most.
-     * @return The shares.
+     * @param limit The largest number of organisations to list, those with the highest demand
+     *     first.
+     * @return The summary.
      */
-    public ShareSummary summary(int most) {
-        return ShareSummary.of(level, observedLevel, fleet, most);
+    public ShareSummary summary(int limit) {
+        return ShareSummary.of(level, observedLevel, fleetSums, limit);
     }
 
     /**
-     * Computes the level.
+     * Adds up the counts of all gateways and recomputes the levels.
      *
-     * @param capacity What the fleet is promised to produce in a window, in tokens.
-     * @param now The present time, in milliseconds.
+     * @param capacity The promised capacity of the fleet in a window, in tokens.
+     * @param now The current time, in milliseconds.
      */
     private void compute(double capacity, long now) {
-        peers.values().removeIf(each -> now - each.heardMillis() > PEER_WORD_MILLIS);
+        peers.values().removeIf(each -> now - each.receivedMillis() > PEER_EXPIRY_MILLIS);
         ShareCounts own = own(now);
         long counted = own.countedMillis();
         Map<String, ShareSums> all = new HashMap<>(own.sums());
-        for (PeerWord each : peers.values()) {
+        for (PeerCounts each : peers.values()) {
             counted = Math.max(counted, each.counts().countedMillis());
             each.counts().sums().forEach((name, sums) -> all.merge(name, sums, ShareSums::plus));
         }
-        computeLevels(all, capacity * countedPart(counted));
-        fleet = all;
-        levelMillis = now;
+        computeLevels(all, capacity * countedFraction(counted));
+        fleetSums = all;
+        computedMillis = now;
     }
 
     /**
-     * Returns which part of a window's capacity the counted requests may share. A fleet that has
-     * just started has counted for a moment only; a whole window's capacity would be given away to
-     * whoever came first.
+     * Returns the fraction of a window's capacity to share out. Directly after a start it is small;
+     * otherwise the first organisation to send requests could use up the capacity of a whole
+     * window.
      *
-     * @param countedMillis How long the fleet has counted, in milliseconds.
-     * @return The part, above 0 and at most 1.
+     * @param countedMillis The longest time for which any gateway has counted, in milliseconds.
+     * @return The fraction, above 0 and at most 1.
      */
-    private double countedPart(long countedMillis) {
-        long counted = Math.max(LEAST_COUNTED_MILLIS, countedMillis);
+    private double countedFraction(long countedMillis) {
+        long counted = Math.max(MIN_COUNTED_MILLIS, countedMillis);
         return Math.min(1, (double) counted / windowMillis);
     }
 
     /**
-     * Computes the levels of what is promised and of what is really produced.
+     * Computes the levels of the promised and of the observed capacity.
      *
-     * @param all What the fleet's organisations asked and got.
-     * @param capacity What the fleet is promised to produce meanwhile, in tokens.
+     * @param all The sums of the whole fleet, by organisation.
+     * @param capacity The promised capacity for the counted time, in tokens.
      */
     private void computeLevels(Map<String, ShareSums> all, double capacity) {
         Map<String, Double> demands = new HashMap<>();
         all.forEach((name, sums) -> demands.put(name, sums.asked()));
         double produced = all.values().stream().mapToDouble(ShareSums::begun).sum();
-        level = MaxMin.level(demands, capacity);
-        observedLevel = MaxMin.level(demands, Math.max(capacity, produced));
+        level = MaxMinFairness.level(demands, capacity);
+        observedLevel = MaxMinFairness.level(demands, Math.max(capacity, produced));
         double within = demands.values().stream().mapToDouble(each -> Math.min(each, level)).sum();
         askedWithin = within / capacity;
     }
--- a/src/main/java/org/martenwell/share/MaxMinFairness.java
+++ b/src/main/java/org/martenwell/share/MaxMinFairness.java
@@ -4,30 +4,32 @@
 import java.util.List;
 import java.util.Map;
 
-/** Max-min fairness: nobody gets more than it asks, and what is left is split evenly. */
-final class MaxMin {
+/**
+ * Max-min fair allocation: no demand gets more than it asks for, and demands that cannot be met in
+ * full get equal shares.
+ */
+final class MaxMinFairness {
 
-    /** Not instantiated. */
-    private MaxMin() {}
+    private MaxMinFairness() {}
 
     /**
-     * Finds the level up to which every demand is met.
+     * Computes the largest share by filling up the demands in ascending order.
      *
-     * @param demands The demands.
-     * @param capacity What there is to share.
-     * @return The greatest share; smaller demands are met in full. Infinite if all are met.
+     * @param demands The demands by name.
+     * @param capacity The capacity to share out, in the unit of the demands.
+     * @return The share of every demand that is not met in full; infinite if all are met.
      */
     static double level(Map<String, Double> demands, double capacity) {
         List<Double> sorted = new ArrayList<>(demands.values());
         sorted.sort(Double::compare);
-        double left = capacity;
+        double remaining = capacity;
         int count = sorted.size();
-        for (double each : sorted) {
-            double even = left / count;
-            if (each > even) {
-                return even;
+        for (double demand : sorted) {
+            double equalShare = remaining / count;
+            if (demand > equalShare) {
+                return equalShare;
             }
-            left -= each;
+            remaining -= demand;
             count--;
         }
         return Double.POSITIVE_INFINITY;
--- a/src/main/java/org/martenwell/share/ShareCounts.java
+++ b/src/main/java/org/martenwell/share/ShareCounts.java
@@ -3,32 +3,28 @@
 import java.util.Map;
 
 /**
- * What organisations asked and got at one gateway in the last window.
+ * The demand and use of all organisations at one gateway in the last window.
  *
- * @param countedMillis How long requests have been counted without a pause, in milliseconds, a
- *     window at the most. Less than a window behind a start or behind a time without requests.
- * @param sums The sums by organisation; those that neither asked nor got anything are left out.
+ * @param countedMillis The time that the sums cover, in milliseconds: at most a window, less after
+ *     a start or after a window without requests.
+ * @param sums The sums by organisation; organisations without requests are left out.
  */
 public record ShareCounts(long countedMillis, Map<String, ShareSums> sums) {
 
-    /** Nothing counted. */
+    /** Counts without any request. */
     public static final ShareCounts NONE = new ShareCounts(0, Map.of());
 
     /**
-     * Creates counts that no longer change.
+     * Copies the sums, so that the counts are immutable.
      *
-     * @param countedMillis How long requests have been counted, in milliseconds.
+     * @param countedMillis The time that the sums cover, in milliseconds.
      * @param sums The sums by organisation.
      */
     public ShareCounts {
         sums = Map.copyOf(sums);
     }
 
-    /**
-     * Returns whether nothing was asked and got.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if no organisation has requests in the window} */
     public boolean isEmpty() {
         return sums.isEmpty();
     }
--- a/src/main/java/org/martenwell/share/ShareSummary.java
+++ b/src/main/java/org/martenwell/share/ShareSummary.java
@@ -6,34 +6,35 @@
 import java.util.Map;
 
 /**
- * Fair shares of the whole fleet as one gateway sees them, for the log.
+ * The state of all fair shares as computed by one gateway, for the log.
  *
- * @param level The greatest share of what is promised, in tokens a window; infinite if all demands
- *     are met.
- * @param observedLevel The greatest share of what is produced, likewise.
- * @param produced What all organisations got in the last window, in tokens.
- * @param organisations What those that asked most asked and got, the greatest first.
+ * @param level The largest share of the promised capacity, in tokens per window; infinite if it
+ *     covers all demands.
+ * @param observedLevel The largest share of the observed capacity, in tokens per window; infinite
+ *     if it covers all demands.
+ * @param produced The cost of all requests sent in the last window, in tokens.
+ * @param organisations The sums of the organisations with the highest demand, in descending order.
  */
 public record ShareSummary(
         double level, double observedLevel, double produced, Map<String, ShareSums> organisations) {
 
     /**
-     * Summarises shares.
+     * Creates a summary.
      *
-     * @param level The greatest share of what is promised.
-     * @param observedLevel The greatest share of what is produced.
-     * @param sums What all organisations asked and got.
-     * @param most Of how many of them to tell.
+     * @param level The largest share of the promised capacity, in tokens per window.
+     * @param observedLevel The largest share of the observed capacity, in tokens per window.
+     * @param sums The sums of all organisations.
+     * @param limit The largest number of organisations to list.
      * @return The summary.
      */
     static ShareSummary of(
-            double level, double observedLevel, Map<String, ShareSums> sums, int most) {
+            double level, double observedLevel, Map<String, ShareSums> sums, int limit) {
         Map<String, ShareSums> organisations = new LinkedHashMap<>();
         Comparator<Map.Entry<String, ShareSums>> byAsked =
                 Comparator.comparingDouble(each -> -each.getValue().asked());
         sums.entrySet().stream()
                 .sorted(byAsked)
-                .limit(most)
+                .limit(limit)
                 .forEach(each -> organisations.put(each.getKey(), each.getValue()));
         double produced = sums.values().stream().mapToDouble(ShareSums::begun).sum();
         return new ShareSummary(level, observedLevel, produced, organisations);
--- a/src/main/java/org/martenwell/share/ShareSums.java
+++ b/src/main/java/org/martenwell/share/ShareSums.java
@@ -1,23 +1,22 @@
 package org.martenwell.share;
 
 /**
- * What an organisation asked and got in the last window.
+ * The demand and use of one organisation in the last window.
  *
- * @param asked The tokens that its requests asked for.
- * @param begun The tokens of those that were sent to a target.
- * @param within The tokens of those of them that were within its share of what the fleet is
- *     promised to produce when they were sent.
+ * @param asked The cost of the received requests, in tokens.
+ * @param begun The cost of the requests sent to a target, in tokens.
+ * @param within The cost of the requests sent within the promised share, in tokens.
  */
 public record ShareSums(double asked, double begun, double within) {
 
-    /** Nothing. */
+    /** The sums of an organisation without requests. */
     public static final ShareSums NONE = new ShareSums(0, 0, 0);
 
     /**
-     * Adds sums.
+     * Adds up two sums.
      *
      * @param other The other sums.
-     * @return The sums of both.
+     * @return The total of both.
      */
     public ShareSums plus(ShareSums other) {
         return new ShareSums(asked + other.asked, begun + other.begun, within + other.within);
--- a/src/main/java/org/martenwell/share/ShareTier.java
+++ b/src/main/java/org/martenwell/share/ShareTier.java
@@ -1,49 +1,44 @@
 package org.martenwell.share;
 
-/** Which fair share a request is within. The more it exceeds, the less room it may take. */
+/**
+ * The fair share that a request falls within. A request further beyond its share may use less of a
+ * target's capacity.
+ */
 public enum ShareTier {
 
-    /** Within its share of what the fleet is promised to produce. */
+    /** Within the organisation's share of the promised capacity. */
     PROMISED(0.96, 0.3),
 
-    /** Within its share of what the fleet really produces. */
+    /** Beyond that, but within its share of the observed capacity. */
     OBSERVED(0.8, 0.25),
 
-    /** Beyond both. */
+    /** Beyond both shares. */
     BEYOND(0.55, 0.15);
 
-    /** The part of a target's places that requests may fill. */
-    private final double fill;
+    private final double fillFraction;
 
-    /** The part of an objective that a target may be busy before a request. */
-    private final double waitPart;
+    private final double waitFraction;
 
-    /**
-     * Creates a tier.
-     *
-     * @param fill The part of a target's places that requests may fill.
-     * @param waitPart The part of an objective that a target may be busy before a request.
-     */
-    ShareTier(double fill, double waitPart) {
-        this.fill = fill;
-        this.waitPart = waitPart;
+    ShareTier(double fillFraction, double waitFraction) {
+        this.fillFraction = fillFraction;
+        this.waitFraction = waitFraction;
     }
 
     /**
-     * Returns the part of a target's places that requests may fill.
+     * Returns the limit up to which requests of this tier may fill a target's slots and memory.
      *
-     * @return The part.
+     * @return The fraction, from 0 to 1.
      */
-    public double fill() {
-        return fill;
+    public double fillFraction() {
+        return fillFraction;
     }
 
     /**
-     * Returns the part of an objective that a target may be busy before a request.
+     * Returns the backlog of a target that is acceptable in any case.
      *
-     * @return The part.
+     * @return The backlog as a fraction of the request's latency objective, from 0 to 1.
      */
-    public double waitPart() {
-        return waitPart;
+    public double waitFraction() {
+        return waitFraction;
     }
 }
--- a/src/main/java/org/martenwell/share/ShareUse.java
+++ b/src/main/java/org/martenwell/share/ShareUse.java
@@ -1,19 +1,20 @@
 package org.martenwell.share;
 
 /**
- * How much of its fair shares an organisation has used. Above 1 it exceeds a share; 0 if all
- * demands can be met.
+ * The used fractions of an organisation's fair shares. Above 1 a share is exceeded; both are 0 if
+ * the capacity covers all demands.
  *
- * @param promised The part of its share of what the fleet is promised to produce.
- * @param observed The part of its share of what the fleet really produced, if that is more.
+ * @param promised The used fraction of the share of the promised capacity.
+ * @param observed The used fraction of the share of the observed capacity, if that is larger than
+ *     the promised one.
  */
 public record ShareUse(double promised, double observed) {
 
-    /** Nothing used. */
+    /** The use of an organisation without requests. */
     public static final ShareUse NONE = new ShareUse(0, 0);
 
     /**
-     * Returns which share the organisation is within.
+     * Returns the most favourable tier whose share is not exceeded.
      *
      * @return The tier.
      */
--- a/src/main/java/org/martenwell/share/SlidingSum.java
+++ b/src/main/java/org/martenwell/share/SlidingSum.java
@@ -1,59 +1,58 @@
 package org.martenwell.share;
 
-/** A sum over the last moments, kept in buckets. */
+/** A sum over a sliding window, divided into buckets of equal length. */
 final class SlidingSum {
 
-    /** How many buckets there are. */
     private static final int BUCKETS = 16;
 
-    /** How long a bucket is, in milliseconds. */
     private final long bucketMillis;
 
-    /** The sums of the buckets. */
+    /** The sums of the buckets, as a ring indexed by the bucket number modulo the length. */
     private final double[] sums = new double[BUCKETS];
 
-    /** The number of the newest bucket since the clock's origin. */
-    private long newest;
+    /** The number of the newest bucket, counted from time 0. */
+    private long newestBucket;
 
     /**
      * Creates an empty sum.
      *
-     * @param windowMillis Over how long it sums, in milliseconds.
+     * @param windowMillis The length of the window, in milliseconds.
      */
     SlidingSum(long windowMillis) {
         bucketMillis = Math.max(1, windowMillis / BUCKETS);
     }
 
     /**
-     * Adds an amount.
+     * Adds an amount to the current bucket.
      *
      * @param amount The amount.
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     void add(double amount, long now) {
         advance(now);
-        sums[(int) Math.floorMod(newest, (long) BUCKETS)] += amount;
+        sums[(int) Math.floorMod(newestBucket, (long) BUCKETS)] += amount;
     }
 
     /**
-     * Takes an amount back that was added before.
+     * Subtracts an amount from the bucket to which it was added. It has no effect if that bucket
+     * has expired.
      *
      * @param amount The amount.
-     * @param addedMillis When it was added, in milliseconds.
-     * @param now The present time, in milliseconds.
+     * @param addedMillis The time at which it was added, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
-    void takeBack(double amount, long addedMillis, long now) {
+    void subtract(double amount, long addedMillis, long now) {
         advance(now);
         long bucket = addedMillis / bucketMillis;
-        if (newest - bucket < BUCKETS) {
+        if (newestBucket - bucket < BUCKETS) {
             sums[(int) Math.floorMod(bucket, (long) BUCKETS)] -= amount;
         }
     }
 
     /**
-     * Returns the sum.
+     * Returns the sum over the window.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      * @return The sum.
      */
     double sum(long now) {
@@ -66,16 +65,16 @@
     }
 
     /**
-     * Clears buckets that are too old.
+     * Moves the window to the current time and clears the buckets that it reuses.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     private void advance(long now) {
         long present = now / bucketMillis;
-        long from = Math.max(newest + 1, present - BUCKETS + 1);
+        long from = Math.max(newestBucket + 1, present - BUCKETS + 1);
         for (long each = from; each <= present; each++) {
             sums[(int) Math.floorMod(each, (long) BUCKETS)] = 0;
         }
-        newest = Math.max(newest, present);
+        newestBucket = Math.max(newestBucket, present);
     }
 }
--- a/src/test/java/org/martenwell/share/FairSharesTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesTest.java
@@ -17,19 +17,19 @@
     private static final long WINDOW = 4_000;
 
     @Property(tries = 500, seed = "21")
-    void testLevelSharesOutTheCapacityAndNoMore(
+    void testLevelAllocatesExactlyTheCapacity(
             @ForAll @Size(min = 1, max = 20) List<@DoubleRange(min = 0, max = 1_000) Double> asked,
             @ForAll @DoubleRange(min = 1, max = 5_000) double capacity) {
         Map<String, Double> demands = new HashMap<>();
         asked.forEach(each -> demands.put("o" + demands.size(), each));
-        double level = MaxMin.level(demands, capacity);
+        double level = MaxMinFairness.level(demands, capacity);
         double total = asked.stream().mapToDouble(Double::doubleValue).sum();
         double given = asked.stream().mapToDouble(each -> Math.min(each, level)).sum();
         assertThat(given).isCloseTo(Math.min(total, capacity), within(1e-6 * (1 + total)));
     }
 
     @Test
-    void testNobodyExceedsItsShareWhileAllDemandsCanBeMet() {
+    void testNoShareIsExceededWhileAllDemandsAreMet() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 900, 0);
         shares.begun("a", 900, ShareTier.PROMISED, 0);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void testManyPeersAreSummedUpLessOften() {
+    void testRefreshIntervalGrowsWithTheNumberOfPeers() {
         FairShares shares = new FairShares(WINDOW);
         for (int peer = 0; peer < 60; peer++) {
             shares.peer("p" + peer, counts(Map.of("o", new ShareSums(100, 10, 10))), 0);
@@ -59,23 +59,20 @@
     }
 
     @Test
-    void testWhatIsProducedBeyondThePromiseIsSharedFairlyToo() {
+    void testObservedCapacityIsSharedFairly() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("lucky", 10_000, 0);
-        shares.begun("lucky", 3_000, ShareTier.PROMISED, 0);
+        shares.asked("favoured", 10_000, 0);
+        shares.begun("favoured", 3_000, ShareTier.PROMISED, 0);
         shares.asked("refused", 10_000, 0);
         shares.begun("refused", 600, ShareTier.PROMISED, 0);
         ShareUse refused = shares.use("refused", 10, 1_000, 100);
         assertThat(refused.tier()).isEqualTo(ShareTier.OBSERVED);
-        assertThat(shares.use("lucky", 10, 1_000, 100).tier()).isEqualTo(ShareTier.BEYOND);
+        assertThat(shares.use("favoured", 10, 1_000, 100).tier()).isEqualTo(ShareTier.BEYOND);
     }
 
-    /**
-     * The largest organisation paid later for what it got while there was room: it was refused
-     * within its share for the rest of the window.
-     */
+    /** Guards against refusals within the share after an organisation has used idle capacity. */
     @Test
-    void testWhatWasTakenBeyondTheShareDoesNotCountAgainstIt() {
+    void testUseBeyondTheShareDoesNotCountAgainstIt() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("large", 10_000, 0);
         shares.begun("large", 3_000, ShareTier.BEYOND, 0);
@@ -86,19 +83,19 @@
     }
 
     @Test
-    void testPeersCountAndAreForgotten() {
+    void testPeerReportsCountUntilTheyExpire() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 100, 0);
-        Map<String, ShareSums> told =
+        Map<String, ShareSums> reported =
                 Map.of("a", new ShareSums(5_000, 900, 900), "b", new ShareSums(5_000, 0, 0));
-        shares.peer("p", counts(told), 0);
+        shares.peer("p", counts(reported), 0);
         assertThat(shares.use("a", 10, 1_000, 100).promised()).isGreaterThan(1);
         assertThat(shares.use("a", 10, 1_000, 3_000).promised()).isLessThan(1);
     }
 
-    /** The first second behind a start let a flood take what was meant for the whole window. */
+    /** Guards against one organisation using a whole window's capacity directly after a start. */
     @Test
-    void testFloodOfAFleetThatHasJustStartedIsBeyondItsShare() {
+    void testShareDirectlyAfterAStartIsLimitedToTheCountedTime() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("flood", 900, 0);
         shares.begun("flood", 400, ShareTier.PROMISED, 0);
@@ -108,7 +105,7 @@
     }
 
     @Test
-    void testGatewayThatHasJustStartedGoesByWhatItsPeersHaveCounted() {
+    void testStartedGatewayUsesTheCountedTimeOfItsPeers() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 400, 0);
         shares.begun("a", 400, ShareTier.PROMISED, 0);
@@ -117,7 +114,7 @@
     }
 
     @Test
-    void testCountingBeginsAnewBehindAPause() {
+    void testCountedTimeRestartsAfterAPause() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 100, 0);
         assertThat(shares.own(3_000).countedMillis()).isEqualTo(3_000);
@@ -127,7 +124,7 @@
     }
 
     @Test
-    void testAskedWithinIsThePartOfThePromiseThatFairSharesTake() {
+    void testAskedWithinIsAFractionOfThePromisedCapacity() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("flood", 10_000, 0);
         shares.asked("small", 100, WINDOW);
@@ -136,7 +133,7 @@
     }
 
     @Test
-    void testWhatNoTargetBeganIsTakenBackFromWhenItWasSent() {
+    void testUnstartedRequestIsSubtractedFromTheBucketOfItsSendTime() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 900, 0);
         shares.begun("a", 500, ShareTier.PROMISED, 0);
@@ -148,7 +145,7 @@
     }
 
     @Test
-    void testSummaryTellsOfThoseThatAskMost() {
+    void testSummaryListsTheHighestDemand() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("little", 1, WINDOW);
         shares.asked("much", 50, WINDOW);
@@ -159,7 +156,7 @@
     }
 
     @Test
-    void testSumsSlide() {
+    void testExpiredBucketsAreCleared() {
         SlidingSum sum = new SlidingSum(1_600);
         sum.add(5, 0);
         sum.add(7, 1_000);
@@ -168,7 +165,7 @@
         assertThat(sum.sum(10_000)).isZero();
     }
 
-    /** Returns what a peer tells that has counted for a whole window. */
+    /** Returns the counts of a peer that cover a whole window. */
     private static ShareCounts counts(Map<String, ShareSums> sums) {
         return new ShareCounts(WINDOW, sums);
     }
