--- a/src/test/java/org/martenwell/balance/PlacementReplay.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -24,7 +24,7 @@
  * each other's requests late, as relays tell them. Engines read prompts one after the other, run as
  * many requests as they have slots, let a few more wait and reject the rest.
  */
-final class PlacementReplay {
+final class PlacementSimulation {
 
     /** The load that is replayed. */
     record Load(
@@ -115,7 +115,7 @@
 
     private record Event(double at, long order, Runnable action) {}
 
-    private PlacementReplay(Load load, boolean blurs) {
+    private PlacementSimulation(Load load, boolean blurs) {
         this.load = load;
         this.blurs = blurs;
         this.random = new Random(load.seed());
@@ -129,12 +129,12 @@
 
     /** Replays a load. */
     static Outcome play(Load load) {
-        return new PlacementReplay(load, true).play();
+        return new PlacementSimulation(load, true).play();
     }
 
     /** Replays a load as if all that is known were true now. */
     static Outcome playTrusting(Load load) {
-        return new PlacementReplay(load, false).play();
+        return new PlacementSimulation(load, false).play();
     }
 
     private Outcome play() {
--- a/src/test/java/org/martenwell/balance/PlacementReplayTest.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulationTest.java
@@ -20,22 +20,22 @@
  * <p>Settled by this replay: with reports after 20 ms, as in a fleet of seven, nearly all requests
  * of the same load are in time.
  */
-final class PlacementReplayTest {
+final class PlacementSimulationTest {
 
     /** A load that takes half of the engines' slots, in requests a second for each engine. */
     private static final int HALF_LOAD = 13;
 
     /** Reports of 95 gateways, which go by relays. */
-    private static final PlacementReplay.Load LARGE =
-            new PlacementReplay.Load(95, 53, 53 * HALF_LOAD, 190, 200, 2, 1);
+    private static final PlacementSimulation.Load LARGE =
+            new PlacementSimulation.Load(95, 53, 53 * HALF_LOAD, 190, 200, 2, 1);
 
     /** Reports of seven gateways, which go to each. */
-    private static final PlacementReplay.Load SMALL =
-            new PlacementReplay.Load(7, 11, 11 * HALF_LOAD, 40, 5, 4, 1);
+    private static final PlacementSimulation.Load SMALL =
+            new PlacementSimulation.Load(7, 11, 11 * HALF_LOAD, 40, 5, 4, 1);
 
     @Test
     void testGatewaysWithOldLoadsDoNotOverfillTheSameEngines() {
-        PlacementReplay.Outcome outcome = PlacementReplay.play(LARGE);
+        PlacementSimulation.Outcome outcome = PlacementSimulation.play(LARGE);
         assertThat(outcome.inTimeShare()).isGreaterThan(0.97);
         assertThat(outcome.rejectedShare()).isLessThan(0.01);
     }
@@ -43,13 +43,13 @@
     /** Holds that the replay shows the fault at all. */
     @Test
     void testGatewaysThatTrustOldLoadsOverfillTheSameEngines() {
-        PlacementReplay.Outcome outcome = PlacementReplay.playTrusting(LARGE);
+        PlacementSimulation.Outcome outcome = PlacementSimulation.playTrusting(LARGE);
         assertThat(outcome.inTimeShare()).isLessThan(0.85);
     }
 
     @Test
     void testSmallFleetIsPlacedAsWellAsWithoutBlur() {
-        assertThat(PlacementReplay.play(SMALL).inTimeShare()).isGreaterThan(0.99);
-        assertThat(PlacementReplay.playTrusting(SMALL).inTimeShare()).isGreaterThan(0.99);
+        assertThat(PlacementSimulation.play(SMALL).inTimeShare()).isGreaterThan(0.99);
+        assertThat(PlacementSimulation.playTrusting(SMALL).inTimeShare()).isGreaterThan(0.99);
     }
 }
