--- a/src/main/java/org/martenwell/balance/Availabilities.java
+++ b/src/main/java/org/martenwell/balance/Availabilities.java
@@ -4,31 +4,35 @@
 import java.util.Map;
 
 /**
- * What targets have said of themselves, by life. It is remembered beyond a target's entry in the
- * directory, which may go while the target serves on and may come back as it was before.
+ * The availability of targets by incarnation. It outlives a target's directory entry, which may
+ * disappear while the target still serves requests and may reappear with outdated content.
  */
 public final class Availabilities {
 
-    /** Of how many lives it is remembered: twenty times the targets of the largest fleet. */
-    private static final int MAX_LIVES = 2_048;
+    /**
+     * The largest number of remembered incarnations, about twenty times the targets of the largest
+     * fleet.
+     */
+    private static final int MAX_INCARNATIONS = 2_048;
 
-    /** The availabilities by life, the longest not asked for first. */
-    private final Map<String, Availability> lives = new LinkedHashMap<>(16, 0.75f, true);
+    /** The availabilities by incarnation, least recently used first. */
+    private final Map<String, Availability> byIncarnation = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** Creates a memory that knows no target. */
+    /** Creates an empty collection. */
     public Availabilities() {}
 
     /**
-     * Returns what a target has said of itself.
+     * Returns the availability of a target, and creates it at the first call for its incarnation.
      *
-     * @param life The target's life.
-     * @return What it has said, the same object for each call.
+     * @param incarnation The target's incarnation, as in {@code DirectoryTarget.life()}.
+     * @return The same object for each call, until other incarnations have displaced it.
      */
-    public Availability of(String life) {
-        Availability known = lives.computeIfAbsent(life, unknown -> new Availability());
-        if (lives.size() > MAX_LIVES) {
-            lives.remove(lives.keySet().iterator().next());
+    public Availability of(String incarnation) {
+        Availability availability =
+                byIncarnation.computeIfAbsent(incarnation, absent -> new Availability());
+        if (byIncarnation.size() > MAX_INCARNATIONS) {
+            byIncarnation.remove(byIncarnation.keySet().iterator().next());
         }
-        return known;
+        return availability;
     }
 }
--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -3,107 +3,101 @@
 import java.util.Optional;
 
 /**
- * What a target has said of itself in its present life: that it leaves, which it never takes back,
- * and for how long it wants nothing from this gateway. Whatever sends something to a target asks
- * here first.
+ * The state that a target has announced for its present incarnation: draining, which is final, or a
+ * pause in which it accepts nothing from this gateway. It is checked before anything is sent to the
+ * target.
  */
 public final class Availability {
 
     /**
-     * The longest rest that is granted, in milliseconds. A target that asks for more is asked again
-     * after five minutes, which is longer than a start takes: it would else be lost to this gateway
-     * for its life by a single wrong number.
+     * The longest pause that is granted, in milliseconds. It keeps a target that announces a wrong
+     * value from being unused for the rest of its incarnation.
      */
-    private static final long LONGEST_REST_MILLIS = 300_000;
+    private static final long MAX_PAUSE_MILLIS = 300_000;
 
-    /** From where it is known that the target leaves; empty if it is not known to leave. */
-    private Optional<NoticeSource> leaving = Optional.empty();
+    /** The source of the news that the target is draining; empty if it is not known to drain. */
+    private Optional<NoticeSource> drainSource = Optional.empty();
 
-    /** Since when it is known that the target leaves, in milliseconds. */
+    /** The time at which draining became known, in milliseconds; 0 if it is not known to drain. */
     private long leavingSinceMillis;
 
-    /** Until when the target rests, in milliseconds. */
-    private long restUntilMillis = Long.MIN_VALUE;
+    /** The end of the latest pause, in milliseconds. */
+    private long pausedUntilMillis = Long.MIN_VALUE;
 
-    /** Creates the availability of a target that has said nothing. */
+    /** Creates the availability of a target without announcements. */
     public Availability() {}
 
     /**
-     * Notes that the target leaves.
+     * Records that the target is draining.
      *
-     * @param source From where that is known.
-     * @param now The present time, in milliseconds.
+     * @param source The source of the announcement.
+     * @param now The current time, in milliseconds.
      * @return {@code true} if it was not known before.
      */
     public boolean leave(NoticeSource source, long now) {
-        if (leaving.isPresent()) {
+        if (drainSource.isPresent()) {
             return false;
         }
-        leaving = Optional.of(source);
+        drainSource = Optional.of(source);
         leavingSinceMillis = now;
         return true;
     }
 
     /**
-     * Notes that the target wants nothing from this gateway for a time. A rest that was granted
-     * before is not cut short.
+     * Pauses the target. An earlier pause is not shortened.
      *
-     * @param millis For how long, in milliseconds.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if the target did not rest before.
+     * @param millis The length of the pause, in milliseconds; at most five minutes are granted.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the target was not paused before.
      */
     public boolean rest(long millis, long now) {
-        boolean news = !rests(now);
-        long until = now + Math.min(millis, LONGEST_REST_MILLIS);
-        restUntilMillis = Math.max(restUntilMillis, until);
-        return news;
+        boolean started = !rests(now);
+        long until = now + Math.min(millis, MAX_PAUSE_MILLIS);
+        pausedUntilMillis = Math.max(pausedUntilMillis, until);
+        return started;
     }
 
     /**
-     * Tells whether the target takes requests.
+     * Checks whether the target accepts requests.
      *
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it neither leaves nor rests.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if it is neither draining nor paused.
      */
     public boolean open(long now) {
         return !leaves() && !rests(now);
     }
 
-    /**
-     * Tells whether the target leaves.
-     *
-     * @return {@code true} if it is known to.
-     */
+    /** {@return {@code true} if the target is known to be draining} */
     public boolean leaves() {
-        return leaving.isPresent();
+        return drainSource.isPresent();
     }
 
     /**
-     * Returns since when it is known that the target leaves.
+     * Returns the time at which draining became known.
      *
-     * @return The time in milliseconds; only of use if it leaves.
+     * @return The time in milliseconds; meaningful only if {@link #leaves}.
      */
     public long leavingSinceMillis() {
         return leavingSinceMillis;
     }
 
     /**
-     * Tells whether the target rests.
+     * Checks whether the target is paused.
      *
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it wants nothing yet.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if it is.
      */
     public boolean rests(long now) {
-        return now < restUntilMillis;
+        return now < pausedUntilMillis;
     }
 
     /**
-     * Returns for how long the target still rests.
+     * Returns the remaining length of the pause.
      *
-     * @param now The present time, in milliseconds.
-     * @return The time in milliseconds, 0 if it does not rest.
+     * @param now The current time, in milliseconds.
+     * @return The time in milliseconds, 0 if the target is not paused.
      */
     public long restMillis(long now) {
-        return rests(now) ? restUntilMillis - now : 0;
+        return rests(now) ? pausedUntilMillis - now : 0;
     }
 }
--- a/src/main/java/org/martenwell/balance/EngineChoice.java
+++ b/src/main/java/org/martenwell/balance/EngineChoice.java
@@ -3,12 +3,13 @@
 import java.util.Optional;
 
 /**
- * Where a request goes.
+ * The placement of a request on a model engine.
  *
- * @param load The target.
- * @param unreadTokens How many tokens of its prompt the target reads.
- * @param backlogMillis How long the target is taken to be busy before it, in milliseconds.
- * @param copyFrom The target that keeps more of the prompt and hands it over, or empty.
+ * @param load The chosen engine.
+ * @param unreadTokens The tokens of the prompt that are not in the engine's cache and need prefill.
+ * @param backlogMillis The estimated time for which the engine is busy before the request, in
+ *     milliseconds.
+ * @param copyFrom The engine from which cached parts of the prompt are copied, or empty if none.
  */
 public record EngineChoice(
         TargetLoad load, long unreadTokens, double backlogMillis, Optional<TargetLoad> copyFrom) {}
--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -9,49 +9,46 @@
 import org.martenwell.share.ShareTier;
 
 /**
- * Chooses the model engine for a request: among those that have room and reach the first event in
- * time, one that costs little, counting its backlog, what it would have to read and how full it is.
+ * Places requests on model engines: on the one with the lowest cost among those that have capacity
+ * and can produce the first event in time. The cost is an estimate in milliseconds from the
+ * backlog, the prefill, the occupied slots and the recent failures.
  *
- * <p>What is known of engines is some time old in a large fleet. If all gateways chose the one that
- * costs least, they would choose the same until they heard of each other. So each cost is blurred
- * as far as it may have changed meanwhile. In a replay of 13 requests a second for each of 53
- * engines, 95 gateways that heard of each other after 0.3 s answered 0.60 of the requests in time
- * and had 0.05 rejected by engines without that, against 0.99 and none with it.
+ * <p>The loads reported by peers are out of date by some time. If all gateways chose the cheapest
+ * engine, they would overload the same engines until their next reports. Random noise on the costs,
+ * in proportion to the work that may have been sent since, spreads the requests.
  */
 public final class EngineChooser {
 
-    /** The part of an engine's memory that requests may fill. */
-    private static final double MEMORY_FILL = 0.9;
+    /** The fraction of an engine's memory that requests may fill. */
+    private static final double MEMORY_FRACTION = 0.9;
 
-    /** The part of an objective that a first event may be planned to take. */
-    private static final double PLANNED = 0.85;
+    /** The fraction of the latency objective that the estimated time to the first event may use. */
+    private static final double OBJECTIVE_FRACTION = 0.85;
 
-    /** What an engine in another failure domain costs, in milliseconds. */
-    private static final double FAR_MILLIS = 4;
+    /** The additional cost of an engine in another failure domain, in milliseconds. */
+    private static final double OTHER_DOMAIN_MILLIS = 4;
 
-    /** What a full engine costs more than an empty one, in milliseconds. */
-    private static final double FULL_MILLIS = 60;
+    /** The additional cost of an engine whose slots are all in use, in milliseconds. */
+    private static final double FULL_LOAD_MILLIS = 60;
 
-    /** What an engine that fails all requests costs, in milliseconds. */
-    private static final double FAILING_MILLIS = 2_000;
+    /** The additional cost of an engine whose requests all fail, in milliseconds. */
+    private static final double ALL_FAILING_MILLIS = 2_000;
 
-    /** How long a copy of parts of a prompt takes, in milliseconds. */
+    /** The estimated time for copying cached parts between engines, in milliseconds. */
     private static final double COPY_MILLIS = 12;
 
-    /** What an engine gains at least by being the first by hash for a prompt, in milliseconds. */
-    private static final double LEAST_PREFERENCE_MILLIS = 6;
+    /** The least reduction of the cost of the engine that the hash prefers, in milliseconds. */
+    private static final double MIN_AFFINITY_MILLIS = 6;
 
-    /** The failure domain of this gateway. */
     private final String failureDomain;
 
-    /** Blurs costs. */
     private final Random random;
 
     /**
      * Creates a chooser.
      *
      * @param failureDomain The failure domain of this gateway.
-     * @param random Blurs costs.
+     * @param random The source of the noise on costs.
      */
     public EngineChooser(String failureDomain, Random random) {
         this.failureDomain = failureDomain;
@@ -59,28 +56,27 @@
     }
 
     /**
-     * Returns what a request costs an engine, so that others wait for it.
+     * Computes the work that a request adds to an engine, on the scale of the costs.
      *
-     * @param unreadMillis How long its prompt is read, in milliseconds.
-     * @param slots How many requests the engine runs at a time.
-     * @return The cost in milliseconds.
+     * @param unreadMillis The time for its prefill, in milliseconds.
+     * @param slots The number of requests that the engine runs at a time.
+     * @return The work in milliseconds.
      */
     public static double workMillis(double unreadMillis, int slots) {
-        return unreadMillis + FULL_MILLIS / Math.max(1, slots);
+        return unreadMillis + FULL_LOAD_MILLIS / Math.max(1, slots);
     }
 
     /**
-     * Returns the engines that may have room for a request. What they keep of its prompt is not
-     * looked at, which takes most of the time of a choice, so that a request that waits in a busy
-     * fleet costs little.
+     * Selects the engines with capacity for a request. It is a cheap filter that doesn't look at
+     * prompt caches, so that requests can repeat it while they wait for capacity.
      *
-     * @param need What the request needs.
-     * @param tier Which fair share it is within.
+     * @param need The demand of the request.
+     * @param tier The fair share that it falls within.
      * @param loads The engines.
-     * @param terms What they hold.
-     * @param rate How fast they read.
-     * @param now The present time, in milliseconds.
-     * @return The engines with a place, memory, and a backlog that leaves time.
+     * @param terms The limits of the service's engines.
+     * @param rate The prefill rate of the service's engines.
+     * @param now The current time, in milliseconds.
+     * @return The engines with a free slot, enough memory and an acceptable backlog.
      */
     public List<TargetLoad> withRoom(
             PromptNeed need,
@@ -89,12 +85,12 @@
             EngineTerms terms,
             ReadingRate rate,
             long now) {
-        double longestWait = allowedWait(need, tier, 0, rate, now);
+        double maxBacklogMillis = allowedBacklogMillis(need, tier, 0, rate, now);
         List<TargetLoad> found = new ArrayList<>();
         for (TargetLoad each : loads) {
             LoadSums sums = each.all(now);
-            if (hasRoom(each, sums, need, tier, terms)
-                    && rate.millis(sums.unreadTokens()) <= longestWait) {
+            if (hasCapacity(each, sums, need, tier, terms)
+                    && rate.millis(sums.unreadTokens()) <= maxBacklogMillis) {
                 found.add(each);
             }
         }
@@ -102,18 +98,18 @@
     }
 
     /**
-     * Chooses an engine.
+     * Chooses the engine with the lowest cost.
      *
-     * @param need What the request needs.
-     * @param tier Which fair share it is within.
-     * @param candidates The engines with room, as {@link #withRoom} tells.
-     * @param keepers What engines keep of the prompt.
-     * @param terms What engines hold.
-     * @param rate How fast they read.
-     * @param unseenMillis The work that each engine may have got without this gateway's knowing, in
-     *     milliseconds.
-     * @param now The present time, in milliseconds.
-     * @return The choice or empty if none reaches the first event in time.
+     * @param need The demand of the request.
+     * @param tier The fair share that it falls within.
+     * @param candidates The engines selected by {@link #withRoom}.
+     * @param keepers The cached parts of the prompt by engine.
+     * @param terms The limits of the service's engines.
+     * @param rate The prefill rate of the service's engines.
+     * @param unreportedMillis The estimated work that peers have sent to each engine since their
+     *     last reports, in milliseconds; 0 disables the noise on costs.
+     * @param now The current time, in milliseconds.
+     * @return The choice, or empty if no engine can produce the first event in time.
      */
     public Optional<EngineChoice> choose(
             PromptNeed need,
@@ -122,117 +118,119 @@
             PromptKeepers keepers,
             EngineTerms terms,
             ReadingRate rate,
-            double unseenMillis,
+            double unreportedMillis,
             long now) {
-        double preference = preferenceMillis(need, keepers, rate);
+        double affinity = affinityMillis(need, keepers, rate);
         EngineChoice best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         for (TargetLoad each : candidates) {
             LoadSums sums = each.all(now);
             double backlog = rate.millis(sums.unreadTokens());
             Optional<TargetLoad> source = terms.copies() ? keepers.source(each) : Optional.empty();
-            long kept = source.isPresent() ? keepers.most() : keepers.keptTokens(each);
-            long unread = need.promptTokens() - kept;
-            double reading = rate.millis(unread) + (source.isPresent() ? COPY_MILLIS : 0);
-            if (backlog > allowedWait(need, tier, reading, rate, now)) {
+            long cached = source.isPresent() ? keepers.most() : keepers.keptTokens(each);
+            long prefill = need.promptTokens() - cached;
+            double prefillMillis = rate.millis(prefill) + (source.isPresent() ? COPY_MILLIS : 0);
+            if (backlog > allowedBacklogMillis(need, tier, prefillMillis, rate, now)) {
                 continue;
             }
             double cost =
                     backlog
-                            + reading
-                            + FULL_MILLIS * sums.requests() / slots(each, terms)
-                            + FAILING_MILLIS * each.health().failureShare(now)
-                            + (each.target().failureDomain().equals(failureDomain) ? 0 : FAR_MILLIS)
-                            - (keepers.isFirst(each) ? preference : 0)
-                            + blur(unseenMillis);
+                            + prefillMillis
+                            + FULL_LOAD_MILLIS * sums.requests() / slots(each, terms)
+                            + ALL_FAILING_MILLIS * each.health().failureRate(now)
+                            + (each.target().failureDomain().equals(failureDomain)
+                                    ? 0
+                                    : OTHER_DOMAIN_MILLIS)
+                            - (keepers.isPreferred(each) ? affinity : 0)
+                            + gumbelNoise(unreportedMillis);
             if (cost < bestCost) {
                 bestCost = cost;
-                best = new EngineChoice(each, unread, backlog, source);
+                best = new EngineChoice(each, prefill, backlog, source);
             }
         }
         return Optional.ofNullable(best);
     }
 
     /**
-     * Returns a random change of a cost. With these changes, which follow a Gumbel distribution, an
-     * engine is chosen the more seldom the more it costs: by a factor of e for each unit.
+     * Returns a sample of the Gumbel distribution. Choosing the lowest cost after adding such noise
+     * is a softmax choice: the probability of an engine falls by a factor of e for each {@code
+     * scaleMillis} of cost.
      *
-     * @param unitMillis The unit, in milliseconds.
-     * @return The change in milliseconds, 0 if the unit is.
+     * @param scaleMillis The scale, in milliseconds.
+     * @return The noise in milliseconds, 0 if the scale is not positive.
      */
-    private double blur(double unitMillis) {
-        if (unitMillis <= 0) {
+    private double gumbelNoise(double scaleMillis) {
+        if (scaleMillis <= 0) {
             return 0;
         }
         double uniform = random.nextDouble(Double.MIN_VALUE, 1);
-        return unitMillis * Math.log(-Math.log(uniform));
+        return scaleMillis * Math.log(-Math.log(uniform));
     }
 
     /**
-     * Returns what an engine gains by being the first by hash for a prompt. Parts that nobody is
-     * known to keep may be on their way to an engine from another gateway, which chooses by the
-     * same hash; reading them twice costs as much again.
+     * Returns the reduction of the cost of the engine that the hash prefers for a prompt. Other
+     * gateways prefer the same engine, so parts that are cached nowhere yet need prefill only once.
      *
-     * @param need What the request needs.
-     * @param keepers What engines keep of the prompt.
-     * @param rate How fast engines read.
-     * @return The gain in milliseconds.
+     * @param need The demand of the request.
+     * @param keepers The cached parts of the prompt by engine.
+     * @param rate The prefill rate of the engines.
+     * @return The reduction in milliseconds.
      */
-    private static double preferenceMillis(
-            PromptNeed need, PromptKeepers keepers, ReadingRate rate) {
-        long unkept = Math.max(0, need.chain().totalTokens() - keepers.most());
-        return Math.max(LEAST_PREFERENCE_MILLIS, rate.millis(unkept));
+    private static double affinityMillis(PromptNeed need, PromptKeepers keepers, ReadingRate rate) {
+        long uncachedTokens = Math.max(0, need.chain().totalTokens() - keepers.most());
+        return Math.max(MIN_AFFINITY_MILLIS, rate.millis(uncachedTokens));
     }
 
     /**
-     * Tells whether an engine has a place and memory for a request.
+     * Checks whether an engine has a free slot and enough memory for a request. A request larger
+     * than the memory limit is accepted by an idle engine.
      *
      * @param load The engine.
-     * @param sums What all gateways put on it.
-     * @param need What the request needs.
-     * @param tier Which fair share it is within.
-     * @param terms What the engine holds.
-     * @return {@code true} if it has.
+     * @param sums The load of all gateways on the engine.
+     * @param need The demand of the request.
+     * @param tier The fair share that it falls within.
+     * @param terms The limits of the service's engines.
+     * @return {@code true} if it has both.
      */
-    private static boolean hasRoom(
+    private static boolean hasCapacity(
             TargetLoad load, LoadSums sums, PromptNeed need, ShareTier tier, EngineTerms terms) {
         double fillFraction = tier.fillFraction();
         long memory = sums.memoryTokens() + need.ownTokens() + need.answerTokens();
         return sums.requests() < fillFraction * slots(load, terms)
                 && (sums.requests() == 0
-                        || memory < fillFraction * MEMORY_FILL * terms.memoryTokens());
+                        || memory < fillFraction * MEMORY_FRACTION * terms.memoryTokens());
     }
 
     /**
-     * Returns how long an engine may be busy before a request.
+     * Returns the largest backlog of an engine that is acceptable for a request.
      *
-     * @param need What the request needs.
-     * @param tier Which fair share it is within.
-     * @param reading How long its own prompt is read, in milliseconds.
-     * @param rate How fast engines read.
-     * @param now The present time, in milliseconds.
-     * @return The time in milliseconds.
+     * @param need The demand of the request.
+     * @param tier The fair share that it falls within.
+     * @param prefillMillis The time for its own prefill, in milliseconds.
+     * @param rate The prefill rate of the engines.
+     * @param now The current time, in milliseconds.
+     * @return The backlog in milliseconds.
      */
-    private static double allowedWait(
-            PromptNeed need, ShareTier tier, double reading, ReadingRate rate, long now) {
-        double least = tier.waitFraction() * need.objectiveMillis();
+    private static double allowedBacklogMillis(
+            PromptNeed need, ShareTier tier, double prefillMillis, ReadingRate rate, long now) {
+        double minBacklogMillis = tier.waitFraction() * need.objectiveMillis();
         if (tier == ShareTier.BEYOND) {
-            return least;
+            return minBacklogMillis;
         }
-        double left =
-                PLANNED * need.objectiveMillis()
+        double remainingMillis =
+                OBJECTIVE_FRACTION * need.objectiveMillis()
                         - (now - need.arrivedMillis())
                         - rate.baseMillis()
-                        - reading;
-        return Math.max(left, least);
+                        - prefillMillis;
+        return Math.max(remainingMillis, minBacklogMillis);
     }
 
     /**
-     * Returns how many requests an engine runs at a time.
+     * Returns the number of requests that an engine runs at a time.
      *
      * @param load The engine.
-     * @param terms What engines of its service hold.
-     * @return The number of requests.
+     * @param terms The limits that apply if the engine has not announced its slots.
+     * @return The number of slots.
      */
     private static int slots(TargetLoad load, EngineTerms terms) {
         return load.target().slots() > 0 ? load.target().slots() : terms.slots();
--- a/src/main/java/org/martenwell/balance/EngineReserve.java
+++ b/src/main/java/org/martenwell/balance/EngineReserve.java
@@ -5,76 +5,81 @@
 import java.util.List;
 
 /**
- * Keeps engines clear for requests within fair shares. An engine reads prompts in the order in
- * which they come and every answer that it makes waits meanwhile, so a request beyond its share
- * delays those behind it even if there was room when it came. As many engines are reserved as
- * reading the prompts within shares keeps busy; requests beyond shares use the others, as far as
- * those have room. All gateways reserve the same engines, since they order them by the same hash.
+ * Reserves engines for requests within fair shares. Engines process prefills in order of arrival,
+ * and running generations pause meanwhile, so a request beyond its share delays all later ones on
+ * the same engine. The number of reserved engines follows the prefill work of the requests within
+ * shares; requests beyond shares use the other engines. All gateways reserve the same engines
+ * because they order them by the same hash.
  */
 public final class EngineReserve {
 
     /**
-     * The reading time of a token of capacity that is assumed first, in milliseconds: half of a
-     * request's tokens are read, at the rate that is assumed first.
+     * The initial prefill time per token of cost, in milliseconds. It assumes that prompts make up
+     * half of the cost.
      */
-    private static final double FIRST_MILLIS_A_TOKEN = 0.5 / ReadingRate.FIRST_RATE;
+    private static final double INITIAL_MILLIS_PER_TOKEN = 0.5 / ReadingRate.INITIAL_RATE;
 
-    /** How much the requests before count in the reading time of a token. */
-    private static final double REMEMBERED = 0.98;
+    /** The factor by which earlier requests lose weight with each new one. */
+    private static final double DECAY = 0.98;
 
-    /** For how many tokens the time that is assumed first counts: about a dozen requests. */
-    private static final double FIRST_TOKENS = 100_000;
+    /**
+     * The weight of the initial prefill time, in tokens of cost; equal to about a dozen requests.
+     */
+    private static final double INITIAL_TOKENS = 100_000;
 
-    /** The busy part up to which the last engine that is left is not reserved. */
-    private static final double BUSY_FLEET = 0.5;
+    /** The utilisation up to which at least one engine stays unreserved. */
+    private static final double SPARE_GUARANTEE_FRACTION = 0.5;
 
-    /** How long prompts within shares are read, the last ones counting most, in milliseconds. */
-    private double readingMillis = FIRST_MILLIS_A_TOKEN * FIRST_TOKENS;
+    /** The prefill time of requests within shares, as a decaying sum in milliseconds. */
+    private double prefillMillis = INITIAL_MILLIS_PER_TOKEN * INITIAL_TOKENS;
 
-    /** What the requests of these prompts cost, in tokens of capacity. */
-    private double costTokens = FIRST_TOKENS;
+    /** The cost of the same requests, as a decaying sum in tokens. */
+    private double costTokens = INITIAL_TOKENS;
 
-    /** Creates a reserve that has seen no request. */
+    /** Creates a reserve without any request. */
     public EngineReserve() {}
 
     /**
-     * Notes that a request within its organisation's share was sent to an engine.
+     * Records a request within its organisation's share that was sent to an engine.
      *
-     * @param promptMillis How long its prompt is read, in milliseconds.
-     * @param cost What it costs, in tokens of capacity.
+     * @param promptMillis The time for the prefill of its prompt, in milliseconds.
+     * @param cost The cost of the request, in tokens.
      */
     public void sent(double promptMillis, double cost) {
-        readingMillis = REMEMBERED * readingMillis + promptMillis;
-        costTokens = REMEMBERED * costTokens + cost;
+        prefillMillis = DECAY * prefillMillis + promptMillis;
+        costTokens = DECAY * costTokens + cost;
     }
 
     /**
      * Returns the engines that requests beyond their shares may use.
      *
-     * @param engines The engines that take requests.
-     * @param tokensPerMilli What organisations ask within their shares, in tokens of capacity a
-     *     millisecond.
-     * @return Those that are not reserved.
+     * @param engines The engines that accept requests.
+     * @param tokensPerMilli The demand within fair shares, in tokens of cost per millisecond.
+     * @return The engines that are not reserved.
      */
     public List<TargetLoad> spare(List<TargetLoad> engines, double tokensPerMilli) {
-        int reserved = reserved(engines.size(), tokensPerMilli * readingMillis / costTokens);
-        if (reserved >= engines.size()) {
+        int reservedCount =
+                reservedCount(engines.size(), tokensPerMilli * prefillMillis / costTokens);
+        if (reservedCount >= engines.size()) {
             return List.of();
         }
         List<TargetLoad> ordered = new ArrayList<>(engines);
         ordered.sort(Comparator.comparingLong(TargetLoad::idHash));
-        return ordered.subList(reserved, ordered.size());
+        return ordered.subList(reservedCount, ordered.size());
     }
 
     /**
-     * Returns how many engines are reserved.
+     * Computes the number of reserved engines.
      *
-     * @param engines How many engines take requests.
-     * @param busy How many engines reading prompts within shares keeps busy.
-     * @return The number of engines. A fleet that is half idle always leaves one.
+     * @param engines The number of engines that accept requests.
+     * @param requiredEngines The number of engines that the prefills within shares keep busy.
+     * @return The number, which may exceed that of the engines; if at most half of them are
+     *     required, at least one is left unreserved.
      */
-    private static int reserved(int engines, double busy) {
-        int needed = (int) Math.ceil(busy);
-        return busy <= BUSY_FLEET * engines ? Math.min(needed, engines - 1) : needed;
+    private static int reservedCount(int engines, double requiredEngines) {
+        int requiredCount = (int) Math.ceil(requiredEngines);
+        return requiredEngines <= SPARE_GUARANTEE_FRACTION * engines
+                ? Math.min(requiredCount, engines - 1)
+                : requiredCount;
     }
 }
--- a/src/main/java/org/martenwell/balance/GatewayReport.java
+++ b/src/main/java/org/martenwell/balance/GatewayReport.java
@@ -6,19 +6,19 @@
 import org.martenwell.share.ShareCounts;
 
 /**
- * What a gateway tells its peers some times a second. Loads and shares are whole, so that a lost
- * report does no harm; placed parts are those since the last report. Shares change slowly and may
- * be left out; none means that nothing is told of them.
+ * The periodic report of a gateway to its peers. Loads and shares are complete in each report that
+ * has them, so a lost report is made up for by the next one; cached parts are listed once, as
+ * changes.
  *
  * @param gateway The gateway's name.
- * @param incarnation A number that is different after each start.
- * @param configurationVersion The version in force there.
- * @param loads What it put on targets; targets without any of its requests are left out.
- * @param shares What organisations asked and got there.
- * @param placed The parts of prompts that targets keep since its last report.
- * @param leaving The lives of targets that it knows to be leaving or gone.
- * @param quarantine What speaks against requests under which targets ended, as learnt there lately;
- *     all of it in the first report on a connection.
+ * @param incarnation A number that differs after each start of the gateway.
+ * @param configurationVersion The configuration version that the gateway applies.
+ * @param loads Its load on each target; targets without any of its requests are left out.
+ * @param shares Its share counts; {@link ShareCounts#NONE} if this report has none.
+ * @param placed The changes of targets' prompt caches since its last report.
+ * @param leaving The incarnations of targets known to be draining or gone.
+ * @param quarantine The recent updates on quarantined requests; all of them in the first report on
+ *     a connection.
  */
 public record GatewayReport(
         String gateway,
--- a/src/main/java/org/martenwell/balance/LoadSums.java
+++ b/src/main/java/org/martenwell/balance/LoadSums.java
@@ -1,22 +1,22 @@
 package org.martenwell.balance;
 
 /**
- * What requests put on a target.
+ * The load of requests on a target.
  *
- * @param requests How many requests it has.
- * @param unreadTokens How many prompt tokens it has to read.
- * @param memoryTokens How many tokens of memory the requests need.
+ * @param requests The number of requests.
+ * @param unreadTokens The prompt tokens whose prefill has not finished.
+ * @param memoryTokens The memory that the requests need, in tokens.
  */
 public record LoadSums(int requests, long unreadTokens, long memoryTokens) {
 
-    /** Nothing. */
+    /** The load of no requests. */
     public static final LoadSums NONE = new LoadSums(0, 0, 0);
 
     /**
-     * Adds sums.
+     * Adds a load.
      *
-     * @param other The other sums.
-     * @return The sums of both.
+     * @param other The load to add.
+     * @return The sum of both.
      */
     public LoadSums plus(LoadSums other) {
         return new LoadSums(
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Takes sums away.
+     * Subtracts a load.
      *
-     * @param other The other sums.
-     * @return What is left.
+     * @param other The load to subtract.
+     * @return The difference.
      */
     public LoadSums minus(LoadSums other) {
         return new LoadSums(
--- a/src/main/java/org/martenwell/balance/NoticeSource.java
+++ b/src/main/java/org/martenwell/balance/NoticeSource.java
@@ -1,11 +1,11 @@
 package org.martenwell.balance;
 
-/** From where a gateway knows what a target says of itself. */
+/** The source from which a gateway learns that a target is draining. */
 public enum NoticeSource {
-    /** An answer of the target. */
+    /** A response of the target. */
     ANSWER,
-    /** The target's entry in the directory. */
+    /** The target's directory entry. */
     DIRECTORY,
-    /** A peer's report. */
+    /** A report of a peer. */
     PEER
 }
--- a/src/main/java/org/martenwell/balance/PlacedPart.java
+++ b/src/main/java/org/martenwell/balance/PlacedPart.java
@@ -1,10 +1,10 @@
 package org.martenwell.balance;
 
 /**
- * A part of a prompt that a target keeps from now on, or no longer.
+ * A change of a target's prompt cache, as reported to peers.
  *
- * @param target The target's life.
- * @param key The part's key.
- * @param tokens Its size in tokens, 0 if the target no longer keeps it.
+ * @param target The target's incarnation.
+ * @param key The key of the prompt part.
+ * @param tokens The size in tokens; 0 if the target has evicted the part.
  */
 public record PlacedPart(String target, long key, long tokens) {}
--- a/src/main/java/org/martenwell/balance/PromptKeepers.java
+++ b/src/main/java/org/martenwell/balance/PromptKeepers.java
@@ -7,117 +7,105 @@
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.prompt.PromptChain;
 
-/** What engines keep of one prompt, and which of them comes first for it by hash. */
+/**
+ * The cached tokens of one prompt by engine, and the engine that the hash prefers for the prompt.
+ */
 public final class PromptKeepers {
 
-    /** The smallest copy that is worth asking for, in tokens. */
-    private static final long LEAST_COPY_TOKENS = 16;
+    /** The smallest gain for which cached parts are copied, in tokens. */
+    private static final long MIN_COPY_TOKENS = 16;
 
-    /** How many tokens each engine keeps that keeps any. */
+    /** The cached tokens by engine; engines without any are left out. */
     private final Map<TargetLoad, Long> kept = new HashMap<>();
 
-    /** The engine that keeps most or {@code null}. */
-    private TargetLoad best;
+    /** The engine with the most cached tokens; {@code null} if none has any. */
+    private TargetLoad largestHolder;
 
-    /** How many tokens that engine keeps. */
+    /** The cached tokens of that engine. */
     private long most;
 
-    /** The engine that comes first by hash or {@code null}. */
-    private TargetLoad first;
+    /** The engine with the highest hash score; {@code null} if there are no engines. */
+    private TargetLoad preferred;
 
-    /** The hash of that engine. */
-    private long firstScore = Long.MIN_VALUE;
+    private long preferredScore = Long.MIN_VALUE;
 
-    /** Creates keepers of a prompt that nobody keeps. */
     private PromptKeepers() {}
 
     /**
-     * Finds out what engines keep of a prompt.
+     * Looks up a prompt in the caches of engines.
      *
      * @param chain The prompt's shared parts.
      * @param loads The engines that may be chosen.
-     * @param leaving Engines that may only hand parts over.
-     * @return What they keep.
+     * @param leaving The engines that can't be chosen but can serve as the source of a copy.
+     * @return The result.
      */
     public static PromptKeepers of(
             PromptChain chain, Collection<TargetLoad> loads, Collection<TargetLoad> leaving) {
         PromptKeepers keepers = new PromptKeepers();
         for (TargetLoad each : loads) {
-            keepers.add(each, chain);
-            keepers.score(each, chain);
+            keepers.addCached(each, chain);
+            keepers.updatePreferred(each, chain);
         }
-        leaving.forEach(each -> keepers.add(each, chain));
+        leaving.forEach(each -> keepers.addCached(each, chain));
         return keepers;
     }
 
     /**
-     * Returns how much of the prompt an engine keeps.
+     * Returns the cached tokens of the prompt at an engine.
      *
      * @param load The engine.
-     * @return The kept part in tokens.
+     * @return The tokens, 0 if none.
      */
     public long keptTokens(TargetLoad load) {
         return kept.getOrDefault(load, 0L);
     }
 
     /**
-     * Returns how much of the prompt is kept by the engine that keeps most of it.
+     * Returns the cached tokens at the engine that has the most.
      *
-     * @return The kept part in tokens.
+     * @return The tokens, 0 if no engine has any.
      */
     public long most() {
         return most;
     }
 
     /**
-     * Returns the engine from which another one should copy parts of the prompt.
+     * Returns the engine from which an engine should copy cached parts.
      *
-     * @param load The engine that would copy.
-     * @return The engine that keeps most, or empty if a copy would bring too little.
+     * @param load The engine that would receive the copy.
+     * @return The engine with the most cached tokens, or empty if the gain is too small.
      */
     public Optional<TargetLoad> source(TargetLoad load) {
-        boolean worthwhile = most - keptTokens(load) >= LEAST_COPY_TOKENS;
-        return worthwhile ? Optional.ofNullable(best) : Optional.empty();
+        boolean worthwhile = most - keptTokens(load) >= MIN_COPY_TOKENS;
+        return worthwhile ? Optional.ofNullable(largestHolder) : Optional.empty();
     }
 
     /**
-     * Returns whether an engine comes first for the prompt by hash.
+     * Checks whether an engine is the one that the hash prefers.
      *
      * @param load The engine.
-     * @return {@code true} if it does.
+     * @return {@code true} if it is.
      */
-    boolean isFirst(TargetLoad load) {
-        return load == first;
+    boolean isPreferred(TargetLoad load) {
+        return load == preferred;
     }
 
-    /**
-     * Takes in what an engine keeps.
-     *
-     * @param load The engine.
-     * @param chain The prompt's shared parts.
-     */
-    private void add(TargetLoad load, PromptChain chain) {
+    private void addCached(TargetLoad load, PromptChain chain) {
         long tokens = load.memory().keptTokens(chain);
         if (tokens > 0) {
             kept.put(load, tokens);
         }
         if (tokens > most) {
             most = tokens;
-            best = load;
+            largestHolder = load;
         }
     }
 
-    /**
-     * Takes in how an engine scores by hash.
-     *
-     * @param load The engine.
-     * @param chain The prompt's shared parts.
-     */
-    private void score(TargetLoad load, PromptChain chain) {
+    private void updatePreferred(TargetLoad load, PromptChain chain) {
         long score = RendezvousHash.score(load.idHash(), chain.lastKey());
-        if (first == null || score > firstScore) {
-            first = load;
-            firstScore = score;
+        if (preferred == null || score > preferredScore) {
+            preferred = load;
+            preferredScore = score;
         }
     }
 }
--- a/src/main/java/org/martenwell/balance/PromptNeed.java
+++ b/src/main/java/org/martenwell/balance/PromptNeed.java
@@ -3,14 +3,15 @@
 import org.martenwell.prompt.PromptChain;
 
 /**
- * What a request to a model engine needs.
+ * The demand of a request to a model engine.
  *
- * @param organisation The organisation.
+ * @param organisation The organisation that sent the request.
  * @param chain The shared parts of its prompt.
- * @param promptTokens The whole prompt, in tokens.
- * @param answerTokens How many tokens its answer probably has.
- * @param objectiveMillis Within which time the first event is in time, in milliseconds.
- * @param arrivedMillis When it arrived, in milliseconds.
+ * @param promptTokens The size of the whole prompt, in tokens.
+ * @param answerTokens The expected size of the response, in tokens.
+ * @param objectiveMillis The latency objective for the first event, in milliseconds from the
+ *     arrival.
+ * @param arrivedMillis The time of arrival, in milliseconds.
  */
 public record PromptNeed(
         String organisation,
@@ -20,23 +21,15 @@
         long objectiveMillis,
         long arrivedMillis) {
 
-    /** How many tokens of capacity a token of an answer counts for. */
+    /** The cost of a response token, in prompt tokens. */
     private static final int ANSWER_WEIGHT = 2;
 
-    /**
-     * Returns what the request costs.
-     *
-     * @return The cost in tokens of capacity.
-     */
+    /** {@return the cost of the request, in tokens} */
     public double cost() {
         return promptTokens + (double) ANSWER_WEIGHT * answerTokens;
     }
 
-    /**
-     * Returns the part of the prompt that no other request shares.
-     *
-     * @return The tokens.
-     */
+    /** {@return the tokens of the prompt that belong to no shared part} */
     public long ownTokens() {
         return Math.max(0, promptTokens - chain.totalTokens());
     }
--- a/src/main/java/org/martenwell/balance/ReadingRate.java
+++ b/src/main/java/org/martenwell/balance/ReadingRate.java
@@ -1,76 +1,75 @@
 package org.martenwell.balance;
 
 /**
- * Learns how fast the targets of a service read prompts, from requests that found a target without
- * a backlog.
+ * Estimates the prefill rate of a service's engines from the time to the first event of requests
+ * that found an engine without a backlog.
  */
 public final class ReadingRate {
 
-    /** The rate that is assumed first, in tokens a millisecond. */
-    static final double FIRST_RATE = 80;
+    /** The initial rate, in tokens per millisecond. */
+    static final double INITIAL_RATE = 80;
 
-    /** The time to the first event of an empty prompt that is assumed first, in milliseconds. */
-    private static final double FIRST_BASE_MILLIS = 40;
+    /** The initial time to the first event of an empty prompt, in milliseconds. */
+    private static final double INITIAL_BASE_MILLIS = 40;
 
-    /** The smallest prompt that teaches the rate, in tokens. */
-    private static final long TEACHING_TOKENS = 2_000;
+    /** The smallest prefill that is a sample of the rate, in tokens. */
+    private static final long MIN_RATE_SAMPLE_TOKENS = 2_000;
 
-    /** The largest prompt that teaches the base, in tokens. */
-    private static final long SMALL_TOKENS = 500;
+    /** The size below which a prefill is a sample of the base time, in tokens. */
+    private static final long BASE_SAMPLE_TOKENS = 500;
 
-    /** The largest backlog that an observation may have, in milliseconds. */
-    private static final double CALM_MILLIS = 4;
+    /** The largest backlog with which a request is a sample, in milliseconds. */
+    private static final double MAX_BACKLOG_MILLIS = 4;
 
-    /** How much one observation weighs. */
-    private static final double WEIGHT = 0.05;
+    /** The weight of a new sample in the moving averages. */
+    private static final double SMOOTHING = 0.05;
 
-    /** The slowest rate, in tokens a millisecond. */
-    private static final double SLOWEST_RATE = 5;
+    /** The lower bound of the rate, in tokens per millisecond. */
+    private static final double MIN_RATE = 5;
 
-    /** The rate in tokens a millisecond. */
-    private double rate = FIRST_RATE;
+    /** The rate in tokens per millisecond. */
+    private double rate = INITIAL_RATE;
 
     /** The time to the first event of an empty prompt, in milliseconds. */
-    private double baseMillis = FIRST_BASE_MILLIS;
+    private double baseMillis = INITIAL_BASE_MILLIS;
 
-    /** Creates a rate about which nothing is known. */
+    /** Creates an estimate with the initial values. */
     public ReadingRate() {}
 
     /**
-     * Takes in an observation.
+     * Updates the estimate by a request. Outliers are limited to a multiple of the present
+     * estimate.
      *
      * @param request The request.
-     * @param firstMillis How long its first event took, in milliseconds.
+     * @param firstEventMillis The time from sending the request to its first event, in
+     *     milliseconds.
      */
-    public void observe(RunningRequest request, long firstMillis) {
-        if (request.backlogMillis() > CALM_MILLIS) {
+    public void observe(RunningRequest request, long firstEventMillis) {
+        if (request.backlogMillis() > MAX_BACKLOG_MILLIS) {
             return;
         }
-        if (request.unreadTokens() < SMALL_TOKENS) {
-            baseMillis += WEIGHT * (Math.min((double) firstMillis, 4 * baseMillis) - baseMillis);
-        } else if (request.unreadTokens() >= TEACHING_TOKENS) {
-            double reading = Math.max(1, firstMillis - baseMillis);
-            double seen = request.unreadTokens() / reading;
-            double bounded = Math.min(4 * rate, Math.max(rate / 4, seen));
-            rate = Math.max(SLOWEST_RATE, rate + WEIGHT * (bounded - rate));
+        if (request.unreadTokens() < BASE_SAMPLE_TOKENS) {
+            baseMillis +=
+                    SMOOTHING * (Math.min((double) firstEventMillis, 4 * baseMillis) - baseMillis);
+        } else if (request.unreadTokens() >= MIN_RATE_SAMPLE_TOKENS) {
+            double prefillMillis = Math.max(1, firstEventMillis - baseMillis);
+            double sample = request.unreadTokens() / prefillMillis;
+            double bounded = Math.min(4 * rate, Math.max(rate / 4, sample));
+            rate = Math.max(MIN_RATE, rate + SMOOTHING * (bounded - rate));
         }
     }
 
     /**
-     * Returns how long a target reads tokens.
+     * Estimates the time for a prefill.
      *
-     * @param tokens The tokens.
+     * @param tokens The size of the prefill, in tokens.
      * @return The time in milliseconds.
      */
     public double millis(long tokens) {
         return tokens / rate;
     }
 
-    /**
-     * Returns the time to the first event of an empty prompt.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the estimated time to the first event of an empty prompt, in milliseconds} */
     public double baseMillis() {
         return baseMillis;
     }
--- a/src/main/java/org/martenwell/balance/ReportBatch.java
+++ b/src/main/java/org/martenwell/balance/ReportBatch.java
@@ -4,19 +4,20 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * The reports of some gateways, gathered by one of them. Their form is made once and handed to many
- * peers as it is.
+ * A batch of gateway reports collected by a relay. It is encoded once and sent to many peers in
+ * this encoding.
  *
- * @param relay The name of the gateway that gathered them.
- * @param passedOn Whether another relay passed the batch on, so that nobody has to any more.
- * @param form Their form, read-only.
+ * @param relay The name of the relay that collected the reports.
+ * @param passedOn {@code true} if a second relay has forwarded the batch, so that it is not
+ *     forwarded again.
+ * @param form The encoded reports, read-only.
  */
 public record ReportBatch(String relay, boolean passedOn, ByteBuffer form) implements PeerMessage {
 
     /**
-     * Marks the batch as passed on by another relay.
+     * Marks the batch as forwarded.
      *
-     * @return The batch with the mark.
+     * @return A batch with the mark and the same reports.
      */
     public ReportBatch withPassedOn() {
         return new ReportBatch(relay, true, form);
--- a/src/main/java/org/martenwell/balance/RunningRequest.java
+++ b/src/main/java/org/martenwell/balance/RunningRequest.java
@@ -1,21 +1,18 @@
 package org.martenwell.balance;
 
 /**
- * A request at a target.
+ * A request that was sent to a target and has not ended.
  *
- * @param unreadTokens How many prompt tokens the target has to read for it.
- * @param memoryTokens How many tokens of the target's memory it needs alone.
- * @param sentMillis When it was sent, in milliseconds.
- * @param backlogMillis How long the target was taken to be busy before it, in milliseconds.
+ * @param unreadTokens The prompt tokens that need prefill.
+ * @param memoryTokens The memory of the target that the request uses alone, in tokens.
+ * @param sentMillis The time at which it was sent, in milliseconds.
+ * @param backlogMillis The estimated time for which the target was busy before the request, in
+ *     milliseconds.
  */
 public record RunningRequest(
         long unreadTokens, long memoryTokens, long sentMillis, double backlogMillis) {
 
-    /**
-     * Returns what the request puts on its target.
-     *
-     * @return The sums of this request alone.
-     */
+    /** {@return the load of this request alone} */
     LoadSums sums() {
         return new LoadSums(1, unreadTokens, memoryTokens);
     }
--- a/src/main/java/org/martenwell/balance/ServiceChooser.java
+++ b/src/main/java/org/martenwell/balance/ServiceChooser.java
@@ -3,16 +3,20 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Chooses the target of a plain service: the one whose places are least taken. */
+/**
+ * Chooses the target of a request to a service other than a model engine, by the fraction of its
+ * slots in use.
+ */
 public final class ServiceChooser {
 
-    /** What a target that fails all requests counts, in full targets. */
-    private static final double FAILING = 3;
+    /** The additional cost of a target whose requests all fail, as a multiple of all its slots. */
+    private static final double ALL_FAILING_COST = 3;
 
-    /** What a target in another failure domain counts, in full targets. */
-    private static final double FAR = 0.02;
+    /**
+     * The additional cost of a target in another failure domain, as a fraction of all its slots.
+     */
+    private static final double OTHER_DOMAIN_COST = 0.02;
 
-    /** The failure domain of this gateway. */
     private final String failureDomain;
 
     /**
@@ -25,11 +29,11 @@
     }
 
     /**
-     * Chooses a target.
+     * Chooses the target with the lowest cost.
      *
      * @param loads The targets that may be chosen.
-     * @param now The present time, in milliseconds.
-     * @return The target or empty if there is none.
+     * @param now The current time, in milliseconds.
+     * @return The target, or empty if there is none.
      */
     public Optional<TargetLoad> choose(Collection<TargetLoad> loads, long now) {
         TargetLoad best = null;
@@ -37,8 +41,10 @@
         for (TargetLoad each : loads) {
             double cost =
                     (double) each.all(now).requests() / Math.max(1, each.target().slots())
-                            + FAILING * each.health().failureShare(now)
-                            + (each.target().failureDomain().equals(failureDomain) ? 0 : FAR);
+                            + ALL_FAILING_COST * each.health().failureRate(now)
+                            + (each.target().failureDomain().equals(failureDomain)
+                                    ? 0
+                                    : OTHER_DOMAIN_COST);
             if (cost < bestCost) {
                 bestCost = cost;
                 best = each;
--- a/src/main/java/org/martenwell/balance/TargetHealth.java
+++ b/src/main/java/org/martenwell/balance/TargetHealth.java
@@ -1,107 +1,106 @@
 package org.martenwell.balance;
 
 /**
- * Judges a target by what became of the requests sent to it. After failures in a row it gets none
- * for a time that doubles; one that fails part of its requests is passed over while others are at
- * hand.
+ * Tracks the outcomes of requests to a target. After consecutive failures the target is suspended
+ * for a time that doubles with each further failure; the recent failure rate makes choosers prefer
+ * other targets.
  */
 public final class TargetHealth {
 
-    /** How many failures in a row close a target. */
-    private static final int CLOSING_FAILURES = 3;
+    /** The number of consecutive failures that suspends a target. */
+    private static final int FAILURE_THRESHOLD = 3;
 
-    /** The first time for which it is closed, in milliseconds. */
-    private static final long FIRST_CLOSED_MILLIS = 400;
+    private static final long MIN_SUSPENSION_MILLIS = 400;
 
-    /** The longest time for which it is closed, in milliseconds. */
-    private static final long LONGEST_CLOSED_MILLIS = 3_200;
+    private static final long MAX_SUSPENSION_MILLIS = 3_200;
 
-    /** How much the last outcome weighs in the share of failures. */
-    private static final double WEIGHT = 0.15;
+    /** The weight of the last outcome in the failure rate. */
+    private static final double SMOOTHING = 0.15;
 
-    /** How fast the share of failures is forgotten, in milliseconds. */
-    private static final double FORGET_MILLIS = 3_000;
+    /** The time constant of the exponential decay of the failure rate, in milliseconds. */
+    private static final double DECAY_MILLIS = 3_000;
 
-    /** How many failures came in a row. */
-    private int failures;
+    private int consecutiveFailures;
 
-    /** Until when the target is closed, in milliseconds. */
-    private long closedUntil;
+    /** The end of the suspension, in milliseconds. */
+    private long suspendedUntil;
 
-    /** The share of failures, the last ones counting most. */
-    private double failureShare;
+    /** The failure rate, from 0 to 1, as of {@link #changedMillis}. */
+    private double failureRate;
 
-    /** When the share was last changed, in milliseconds. */
+    /** The time of the last outcome, in milliseconds. */
     private long changedMillis;
 
-    /** Creates the health of a target about which nothing is known. */
+    /** Creates the health of a target without outcomes. */
     public TargetHealth() {}
 
     /**
-     * Notes a good answer.
+     * Records a successful request and ends a suspension.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public void succeeded(long now) {
-        failures = 0;
-        closedUntil = 0;
-        failureShare = failureShare(now) * (1 - WEIGHT);
+        consecutiveFailures = 0;
+        suspendedUntil = 0;
+        failureRate = failureRate(now) * (1 - SMOOTHING);
         changedMillis = now;
     }
 
     /**
-     * Notes a failure.
+     * Records a failed request.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public void failed(long now) {
-        failures++;
-        failureShare = failureShare(now) * (1 - WEIGHT) + WEIGHT;
+        consecutiveFailures++;
+        failureRate = failureRate(now) * (1 - SMOOTHING) + SMOOTHING;
         changedMillis = now;
-        if (failures >= CLOSING_FAILURES) {
-            int doublings = Math.min(8, failures - CLOSING_FAILURES);
-            closedUntil = now + Math.min(LONGEST_CLOSED_MILLIS, FIRST_CLOSED_MILLIS << doublings);
+        if (consecutiveFailures >= FAILURE_THRESHOLD) {
+            int doublings = Math.min(8, consecutiveFailures - FAILURE_THRESHOLD);
+            suspendedUntil =
+                    now + Math.min(MAX_SUSPENSION_MILLIS, MIN_SUSPENSION_MILLIS << doublings);
         }
     }
 
     /**
-     * Notes that the target could not be connected to. One such failure closes it: with three, 59
-     * gateways failed 2,173 times in 2 s to connect to 15 crashed engines.
+     * Records a failure to connect. A single one suspends the target; otherwise many gateways would
+     * keep trying to connect to crashed targets.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public void notReached(long now) {
-        failures = Math.max(failures, CLOSING_FAILURES - 1);
+        consecutiveFailures = Math.max(consecutiveFailures, FAILURE_THRESHOLD - 1);
         failed(now);
     }
 
     /**
-     * Closes the target for a time, because it says that it is full or is another one.
+     * Suspends the target, because it reports that it is full or has another identity than
+     * expected. An earlier suspension is not shortened.
      *
-     * @param now The present time, in milliseconds.
-     * @param millis How long, in milliseconds.
+     * @param now The current time, in milliseconds.
+     * @param millis The length of the suspension, in milliseconds.
      */
     public void close(long now, long millis) {
-        closedUntil = Math.max(closedUntil, now + millis);
+        suspendedUntil = Math.max(suspendedUntil, now + millis);
     }
 
     /**
-     * Tells whether the target takes requests.
+     * Checks whether the target may be used.
      *
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it does.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} unless it is suspended.
      */
     public boolean open(long now) {
-        return now >= closedUntil;
+        return now >= suspendedUntil;
     }
 
     /**
-     * Returns the share of failures.
+     * Returns the recent failure rate.
      *
-     * @param now The present time, in milliseconds.
-     * @return The share from 0 to 1, which falls with time.
+     * @param now The current time, in milliseconds.
+     * @return The rate, from 0 to 1; it decays with time.
      */
-    public double failureShare(long now) {
-        return failureShare * Math.exp(-Math.max(0, now - changedMillis) / FORGET_MILLIS);
+    public double failureRate(long now) {
+        return failureRate * Math.exp(-Math.max(0, now - changedMillis) / DECAY_MILLIS);
     }
 }
--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -9,67 +9,69 @@
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.prompt.PromptMemory;
 
-/** What is known of a target: its own requests, those of peers, its prompt memory and health. */
+/**
+ * The state of a target as known to this gateway: the load of its own requests and of its peers'
+ * requests, the prompt cache, the health and the availability.
+ */
 public final class TargetLoad {
 
-    /** How old a peer's word may be, in milliseconds. */
+    /** The age at which a peer's report expires, in milliseconds. */
     private static final long PEER_EXPIRY_MILLIS = 1_000;
 
-    /** What the directory tells. */
+    /** The directory entry. */
     private DirectoryTarget target;
 
-    /** The hash of the target's id. */
     private final long idHash;
 
-    /** This gateway's requests that have no answer yet. */
-    private final Set<RunningRequest> unread = Collections.newSetFromMap(new IdentityHashMap<>());
+    /** This gateway's requests whose first event has not arrived. */
+    private final Set<RunningRequest> awaitingFirstEvent =
+            Collections.newSetFromMap(new IdentityHashMap<>());
 
-    /** This gateway's requests. */
+    /** This gateway's requests that have not ended. */
     private final Set<RunningRequest> running = Collections.newSetFromMap(new IdentityHashMap<>());
 
-    /** What this gateway put on the target. */
+    /** The load of this gateway's requests. */
     private LoadSums own = LoadSums.NONE;
 
-    /** What peers put on the target, by the words that were not too old when last looked at. */
+    /** The total load of the reports in {@link #peers}. */
     private LoadSums peerSums = LoadSums.NONE;
 
-    /** When the oldest of the peers' words becomes too old, in milliseconds. */
-    private long peersValidUntil = Long.MAX_VALUE;
+    /**
+     * The time at which the oldest of these reports expires, in milliseconds, or an earlier one.
+     */
+    private long peersValidUntilMillis = Long.MAX_VALUE;
 
-    /** What peers put on the target, by peer. */
+    /** The last report of each peer with requests at the target, by peer. */
     private final Map<String, PeerLoad> peers = new HashMap<>();
 
-    /** What the target keeps of prompts. */
     private final PromptMemory memory = new PromptMemory();
 
-    /** How the target does. */
     private final TargetHealth health = new TargetHealth();
 
-    /** What the target has said of itself. */
     private final Availability availability;
 
     /**
-     * A peer's word.
+     * The load reported by a peer.
      *
-     * @param sums What it put on the target.
-     * @param receivedMillis When it was heard, in milliseconds.
+     * @param sums The load.
+     * @param receivedMillis The time of receipt, in milliseconds.
      */
     private record PeerLoad(LoadSums sums, long receivedMillis) {}
 
     /**
-     * Creates the load of a target that has no requests.
+     * Creates the state of a target without requests and announcements.
      *
-     * @param target What the directory tells.
+     * @param target The directory entry.
      */
     public TargetLoad(DirectoryTarget target) {
         this(target, new Availability());
     }
 
     /**
-     * Creates the load of a target that has no requests.
+     * Creates the state of a target without requests.
      *
-     * @param target What the directory tells.
-     * @param availability What the target has said of itself.
+     * @param target The directory entry.
+     * @param availability The availability of the target's incarnation.
      */
     public TargetLoad(DirectoryTarget target, Availability availability) {
         this.target = target;
@@ -77,79 +79,59 @@
         this.idHash = RendezvousHash.hash(target.id());
     }
 
-    /**
-     * Returns the hash of the target's id.
-     *
-     * @return The hash.
-     */
+    /** {@return the hash of the target's id, for rendezvous hashing} */
     long idHash() {
         return idHash;
     }
 
-    /**
-     * Returns what the directory tells.
-     *
-     * @return The target.
-     */
+    /** {@return the directory entry} */
     public DirectoryTarget target() {
         return target;
     }
 
     /**
-     * Changes what the directory tells.
+     * Replaces the directory entry.
      *
-     * @param changed The target.
+     * @param updated The new entry of the same target.
      */
-    public void target(DirectoryTarget changed) {
-        target = changed;
+    public void target(DirectoryTarget updated) {
+        target = updated;
     }
 
-    /**
-     * Returns what the target keeps of prompts.
-     *
-     * @return The memory.
-     */
+    /** {@return the estimate of the target's prompt cache} */
     public PromptMemory memory() {
         return memory;
     }
 
-    /**
-     * Returns how the target does.
-     *
-     * @return The health.
-     */
+    /** {@return the health of the target} */
     public TargetHealth health() {
         return health;
     }
 
-    /**
-     * Returns what the target has said of itself.
-     *
-     * @return What it has said.
-     */
+    /** {@return the availability that the target has announced} */
     public Availability availability() {
         return availability;
     }
 
     /**
-     * Adds a request.
+     * Records a request that was sent to the target.
      *
-     * @param request The request.
+     * @param request The request; it is ignored if it was recorded before.
      */
     public void sent(RunningRequest request) {
         if (running.add(request)) {
-            unread.add(request);
+            awaitingFirstEvent.add(request);
             own = own.plus(request.sums());
         }
     }
 
     /**
-     * Notes that a request's first event arrived.
+     * Records that a request's first event has arrived, so that its prefill no longer counts.
      *
-     * @param request The request.
+     * @param request The request; it is ignored if that was recorded before.
      */
     public void begun(RunningRequest request) {
-        if (unread.remove(request)) {
+        if (awaitingFirstEvent.remove(request)) {
             own = own.minus(new LoadSums(0, request.unreadTokens(), 0));
         }
     }
@@ -157,7 +139,7 @@
     /**
      * Removes a request.
      *
-     * @param request The request.
+     * @param request The request; it is ignored if it was removed before.
      */
     public void ended(RunningRequest request) {
         begun(request);
@@ -167,11 +149,11 @@
     }
 
     /**
-     * Takes in a peer's word.
+     * Replaces the load of a peer by its latest report.
      *
      * @param peer The peer's name.
-     * @param sums What it put on the target.
-     * @param now The present time, in milliseconds.
+     * @param sums The peer's load on the target; {@link LoadSums#NONE} if it has no requests there.
+     * @param now The current time, in milliseconds.
      */
     public void peer(String peer, LoadSums sums, long now) {
         PeerLoad before =
@@ -182,43 +164,35 @@
             peerSums = peerSums.minus(before.sums());
         }
         peerSums = peerSums.plus(sums);
-        peersValidUntil = Math.min(peersValidUntil, now + PEER_EXPIRY_MILLIS);
+        peersValidUntilMillis = Math.min(peersValidUntilMillis, now + PEER_EXPIRY_MILLIS);
     }
 
-    /**
-     * Returns what this gateway put on the target.
-     *
-     * @return The sums.
-     */
+    /** {@return the load of this gateway's requests} */
     public LoadSums own() {
         return own;
     }
 
     /**
-     * Returns what all gateways put on the target.
+     * Returns the load of all gateways' requests, without expired reports.
      *
-     * @param now The present time, in milliseconds.
-     * @return The sums.
+     * @param now The current time, in milliseconds.
+     * @return The total load.
      */
     public LoadSums all(long now) {
-        if (now > peersValidUntil) {
-            forgetOldWords(now);
+        if (now > peersValidUntilMillis) {
+            removeExpiredReports(now);
         }
         return own.plus(peerSums);
     }
 
-    /**
-     * Forgets peers' words that are too old.
-     *
-     * @param now The present time, in milliseconds.
-     */
-    private void forgetOldWords(long now) {
+    private void removeExpiredReports(long now) {
         peers.values().removeIf(each -> now - each.receivedMillis() > PEER_EXPIRY_MILLIS);
         peerSums = LoadSums.NONE;
-        peersValidUntil = Long.MAX_VALUE;
+        peersValidUntilMillis = Long.MAX_VALUE;
         for (PeerLoad each : peers.values()) {
             peerSums = peerSums.plus(each.sums());
-            peersValidUntil = Math.min(peersValidUntil, each.receivedMillis() + PEER_EXPIRY_MILLIS);
+            peersValidUntilMillis =
+                    Math.min(peersValidUntilMillis, each.receivedMillis() + PEER_EXPIRY_MILLIS);
         }
     }
 }
--- a/src/main/java/org/martenwell/balance/TargetLoadReport.java
+++ b/src/main/java/org/martenwell/balance/TargetLoadReport.java
@@ -1,9 +1,9 @@
 package org.martenwell.balance;
 
 /**
- * What a gateway put on a target.
+ * The load of a gateway's requests on a target, as reported to peers.
  *
- * @param target The target's life.
- * @param sums The sums.
+ * @param target The target's incarnation.
+ * @param sums The load.
  */
 public record TargetLoadReport(String target, LoadSums sums) {}
--- a/src/main/java/org/martenwell/balance/UnseenWork.java
+++ b/src/main/java/org/martenwell/balance/UnseenWork.java
@@ -1,70 +1,74 @@
 package org.martenwell.balance;
 
 /**
- * Estimates how much work the other gateways of a fleet have put on each target since they last
- * told of it. Callers come to all gateways alike, so the others together send what this one sends
- * as often as there are others.
+ * Estimates the work that peers have sent to each target since their last reports. It assumes that
+ * requests are spread evenly over the gateways, so that each peer sends as much as this one.
  */
 public final class UnseenWork {
 
-    /** Over how long this gateway's own work is averaged, in milliseconds. */
-    private static final double MEMORY_MILLIS = 2_000;
+    /** The time constant of the decaying sum of sent work, in milliseconds. */
+    private static final double DECAY_MILLIS = 2_000;
 
-    /** The work that this gateway sent, the last counting most, in milliseconds of a target. */
+    /**
+     * The decaying sum of the work that this gateway has sent, in milliseconds, as of {@link
+     * #lastMillis}.
+     */
     private double sentMillis;
 
-    /** When work was last sent, in milliseconds. */
+    /** The time at which work was last sent, in milliseconds. */
     private long lastMillis;
 
-    /** How many other gateways there are. */
-    private int others;
+    /** The number of other gateways. */
+    private int otherGateways;
 
-    /** How old what they told is on average, in milliseconds. */
-    private double ageMillis;
+    /** The mean age of the peers' reports, in milliseconds. */
+    private double reportAgeMillis;
 
-    /** Creates an estimate for a gateway that is alone. */
+    /** Creates an estimate for a single gateway. */
     public UnseenWork() {}
 
     /**
-     * Changes the fleet.
+     * Updates the size of the fleet.
      *
-     * @param changedOthers How many other gateways there are.
-     * @param changedAgeMillis How old what they told is on average, in milliseconds.
+     * @param others The number of other gateways.
+     * @param averageAgeMillis The mean age of their reports, in milliseconds.
      */
-    public void fleet(int changedOthers, double changedAgeMillis) {
-        others = changedOthers;
-        ageMillis = changedAgeMillis;
+    public void fleet(int others, double averageAgeMillis) {
+        otherGateways = others;
+        reportAgeMillis = averageAgeMillis;
     }
 
     /**
-     * Notes that this gateway sent a request.
+     * Records a request that this gateway sent.
      *
-     * @param workMillis For how long it keeps its target busy, in milliseconds.
-     * @param now The present time, in milliseconds.
+     * @param workMillis The time for which it keeps its target busy, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public void sent(double workMillis, long now) {
-        sentMillis = present(now) + workMillis;
+        sentMillis = decayedMillis(now) + workMillis;
         lastMillis = now;
     }
 
     /**
-     * Returns how much work is on each target on average that is not known of.
+     * Estimates the unreported work per target.
      *
-     * @param targets How many targets there are.
-     * @param now The present time, in milliseconds.
-     * @return The work in milliseconds of a target.
+     * @param targets The number of targets.
+     * @param now The current time, in milliseconds.
+     * @return The mean work of a target, in milliseconds; 0 if there are no targets.
      */
     public double perTarget(int targets, long now) {
-        return targets == 0 ? 0 : present(now) / MEMORY_MILLIS * others * ageMillis / targets;
+        return targets == 0
+                ? 0
+                : decayedMillis(now) / DECAY_MILLIS * otherGateways * reportAgeMillis / targets;
     }
 
     /**
-     * Returns what is left of the work that this gateway sent.
+     * Returns the decaying sum of sent work.
      *
-     * @param now The present time, in milliseconds.
-     * @return The work in milliseconds of a target.
+     * @param now The current time, in milliseconds.
+     * @return The work in milliseconds.
      */
-    private double present(long now) {
-        return sentMillis * Math.exp(-Math.max(0, now - lastMillis) / MEMORY_MILLIS);
+    private double decayedMillis(long now) {
+        return sentMillis * Math.exp(-Math.max(0, now - lastMillis) / DECAY_MILLIS);
     }
 }
--- a/src/main/java/org/martenwell/balance/package-info.java
+++ b/src/main/java/org/martenwell/balance/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which target serves a request and when. Plain objects that are given the time and what is known:
- * loads, prompt memory, health. They hold no socket, thread or clock.
+ * The choice of a target for each request, from the targets' loads, prompt caches, health and
+ * availability. The classes use no sockets, threads or clocks: callers pass the time and the state
+ * of the targets. They are not thread-safe.
  */
 package org.martenwell.balance;
--- a/src/test/java/org/martenwell/balance/AvailabilityTest.java
+++ b/src/test/java/org/martenwell/balance/AvailabilityTest.java
@@ -11,67 +11,64 @@
 
 class AvailabilityTest {
 
-    /** The longest rest that the class grants, in milliseconds. */
-    private static final long LONGEST_MILLIS = 300_000;
+    /** The longest pause that is granted, in milliseconds. */
+    private static final long MAX_PAUSE_MILLIS = 300_000;
 
     private static final List<NoticeSource> SOURCES = List.of(NoticeSource.values());
 
     private final Availability availability = new Availability();
 
     @Test
-    void testTargetThatHasSaidNothingIsOpen() {
+    void testTargetWithoutAnnouncementsAcceptsRequests() {
         assertThat(availability.open(0)).isTrue();
         assertThat(availability.restMillis(0)).isZero();
     }
 
     @Test
-    void testRestEndsWhenItsTimeIsOver() {
+    void testPauseEndsAfterItsTime() {
         assertThat(availability.rest(3_000, 10)).isTrue();
         assertThat(availability.rests(3_009)).isTrue();
         assertThat(availability.rests(3_010)).isFalse();
     }
 
     @Test
-    void testRestOfMoreThanTheLongestIsCut() {
+    void testPauseIsLimited() {
         availability.rest(Long.MAX_VALUE, 10);
-        assertThat(availability.restMillis(10)).isEqualTo(LONGEST_MILLIS);
+        assertThat(availability.restMillis(10)).isEqualTo(MAX_PAUSE_MILLIS);
     }
 
     @Test
-    void testFirstSourceOfALeavingIsTheNews() {
+    void testOnlyTheFirstAnnouncementOfDrainingCounts() {
         assertThat(availability.leave(NoticeSource.PEER, 5)).isTrue();
         assertThat(availability.leave(NoticeSource.ANSWER, 9)).isFalse();
         assertThat(availability.leavingSinceMillis()).isEqualTo(5);
     }
 
-    /**
-     * Lets a target ask for rests and say that it leaves, in any order and at any time; it is open
-     * exactly if it has never said that it leaves and each rest that it asked for is over.
-     */
+    /** Applies announcements in any order, at any time, and compares the state with a model. */
     @Property(tries = 500, seed = "45")
-    void testOpenExactlyIfNoWordSpeaksAgainstIt(
+    void testTargetAcceptsRequestsUnlessDrainingOrPaused(
             @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 999) Integer> steps) {
-        Availability tried = new Availability();
+        Availability tested = new Availability();
         long now = 0;
         long latestEnd = 0;
-        boolean left = false;
+        boolean draining = false;
         for (int step : steps) {
             now += step % 7 * 100L;
             if (step % 10 == 0) {
-                left = true;
-                tried.leave(SOURCES.get(step % SOURCES.size()), now);
+                draining = true;
+                tested.leave(SOURCES.get(step % SOURCES.size()), now);
             } else if (step % 3 == 0) {
                 long millis = step * 3L;
                 latestEnd = Math.max(latestEnd, now + millis);
-                tried.rest(millis, now);
+                tested.rest(millis, now);
             }
-            assertThat(tried.open(now)).isEqualTo(!left && now >= latestEnd);
-            assertThat(tried.restMillis(now)).isEqualTo(Math.max(0, latestEnd - now));
+            assertThat(tested.open(now)).isEqualTo(!draining && now >= latestEnd);
+            assertThat(tested.restMillis(now)).isEqualTo(Math.max(0, latestEnd - now));
         }
     }
 
     @Test
-    void testLifeIsRememberedWithoutBeingAskedForAmongFewOthers() {
+    void testAvailabilityIsKeptAmongOtherIncarnations() {
         Availabilities all = new Availabilities();
         all.of("one").leave(NoticeSource.ANSWER, 0);
         for (int other = 0; other < 2_000; other++) {
@@ -81,7 +78,7 @@
     }
 
     @Test
-    void testMemoryOfLivesIsBounded() {
+    void testNumberOfIncarnationsIsLimited() {
         Availabilities all = new Availabilities();
         all.of("one").leave(NoticeSource.ANSWER, 0);
         for (int other = 0; other < 3_000; other++) {
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -25,10 +25,10 @@
 
     private final List<TargetLoad> loads = new ArrayList<>();
 
-    private final List<TargetLoad> leaving = new ArrayList<>();
+    private final List<TargetLoad> draining = new ArrayList<>();
 
     @Test
-    void testEngineThatKeepsThePromptIsPreferred() {
+    void testEngineThatCachesThePromptIsPreferred() {
         add("one", "domain-a");
         add("two", "domain-a");
         loads.get(1).memory().keep(chain(), 100_000);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void testPromptThatNobodyKeepsGoesToTheFirstByHashThoughAnotherIsLessBusy() {
+    void testUncachedPromptGoesToTheEnginePreferredByHash() {
         add("one", "domain-a");
         add("two", "domain-a");
         PromptNeed need = new PromptNeed("o", chain(), 5_500, 100, 400, 0);
@@ -51,17 +51,17 @@
     }
 
     @Test
-    void testEngineCopiesFromTheOneThatKeepsMostUnlessItKeepsAsMuch() {
+    void testSourceOfACopyIsTheEngineWithTheMostCachedTokens() {
         add("one", "domain-a");
         add("two", "domain-a");
         loads.get(1).memory().keep(chain(), 100_000);
-        PromptKeepers keepers = PromptKeepers.of(chain(), loads, leaving);
+        PromptKeepers keepers = PromptKeepers.of(chain(), loads, draining);
         assertThat(keepers.source(loads.get(0))).contains(loads.get(1));
         assertThat(keepers.source(loads.get(1))).isEmpty();
     }
 
     @Test
-    void testBusyKeeperHandsThePromptOver() {
+    void testCachedPartsAreCopiedFromABusyEngine() {
         add("one", "domain-a");
         add("two", "domain-a");
         loads.get(1).memory().keep(chain(), 100_000);
@@ -73,19 +73,19 @@
     }
 
     @Test
-    void testLeavingEngineHandsThePromptOverAndIsNotChosen() {
+    void testDrainingEngineIsOnlyASourceOfCopies() {
         add("one", "domain-a");
         add("two", "domain-a");
-        leaving.add(loads.remove(1));
-        leaving.get(0).memory().keep(chain(), 100_000);
+        draining.add(loads.remove(1));
+        draining.get(0).memory().keep(chain(), 100_000);
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
-        assertThat(choice.copyFrom()).contains(leaving.get(0));
+        assertThat(choice.copyFrom()).contains(draining.get(0));
         assertThat(choice.unreadTokens()).isEqualTo(500);
     }
 
     @Test
-    void testRequestsOfPeersFillPlaces() {
+    void testRequestsOfPeersOccupySlots() {
         add("one", "domain-a");
         loads.get(0).peer("peer", new LoadSums(10, 0, 0), 0);
         assertThat(choose(ShareTier.PROMISED)).isEmpty();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void testSumsFollowRequestsAndWordsOfPeers() {
+    void testLoadIncludesReportsOfPeers() {
         add("one", "domain-a");
         TargetLoad load = loads.get(0);
         RunningRequest first = new RunningRequest(100, 10, 0, 0);
@@ -118,14 +118,14 @@
     }
 
     @Test
-    void testOldWordOfAPeerIsForgotten() {
+    void testReportOfAPeerExpires() {
         add("one", "domain-a");
         loads.get(0).peer("peer", new LoadSums(10, 0, 0), -5_000);
         assertThat(choose(ShareTier.PROMISED)).isPresent();
     }
 
     @Test
-    void testEngineWithABacklogOrWithoutMemoryHasNoRoom() {
+    void testEngineWithABacklogOrWithoutMemoryHasNoCapacity() {
         add("one", "domain-a");
         loads.get(0).sent(new RunningRequest(80_000, 0, 0, 0));
         assertThat(choose(ShareTier.PROMISED)).isEmpty();
@@ -136,14 +136,14 @@
     }
 
     @Test
-    void testRequestLargerThanTheMemoryOfABusyEngineIsTriedAtAnEmptyOne() {
+    void testRequestBeyondTheMemoryLimitIsSentToAnIdleEngine() {
         add("one", "domain-a");
         PromptNeed huge = new PromptNeed("o", PromptChain.EMPTY, 200_000, 10, 100_000, 0);
         assertThat(choose(huge, ShareTier.PROMISED)).isPresent();
     }
 
     @Test
-    void testEngineThatReadsTooLongIsNoChoiceThoughItMayHaveRoom() {
+    void testEngineWithTooLongAPrefillIsNotChosen() {
         add("one", "domain-a");
         loads.get(0).sent(new RunningRequest(20_000, 0, 0, 0));
         PromptNeed small = new PromptNeed("o", PromptChain.EMPTY, 10, 10, 400, 0);
@@ -160,7 +160,7 @@
 
     private Optional<EngineChoice> choose(PromptNeed need, ShareTier tier) {
         List<TargetLoad> candidates = chooser.withRoom(need, tier, loads, TERMS, rate, 0);
-        PromptKeepers keepers = PromptKeepers.of(need.chain(), loads, leaving);
+        PromptKeepers keepers = PromptKeepers.of(need.chain(), loads, draining);
         return chooser.choose(need, tier, candidates, keepers, TERMS, rate, 0, 0);
     }
 
--- a/src/test/java/org/martenwell/balance/EngineReserveTest.java
+++ b/src/test/java/org/martenwell/balance/EngineReserveTest.java
@@ -17,7 +17,7 @@
 
     private final EngineReserve reserve = new EngineReserve();
 
-    /** Each row: engines, how many of them prompts within shares keep busy, how many are spare. */
+    /** Columns: engines, engines that prefills within shares keep busy, unreserved engines. */
     @ParameterizedTest
     @CsvSource({
         "6, 0, 6",
@@ -30,23 +30,23 @@
         "2, 0.9, 1",
         "0, 0.1, 0"
     })
-    void testEnginesAreReservedAsFarAsPromptsWithinSharesNeedThem(
-            int engines, double busy, int spare) {
-        learn(10, 1_000);
-        assertThat(reserve.spare(engines(engines), 100 * busy)).hasSize(spare);
+    void testReserveCoversThePrefillsWithinShares(
+            int engines, double requiredEngines, int unreserved) {
+        recordRequests(10, 1_000);
+        assertThat(reserve.spare(engines(engines), 100 * requiredEngines)).hasSize(unreserved);
     }
 
     @Test
-    void testReserveFollowsHowLongPromptsAreRead() {
-        learn(10, 1_000);
+    void testReserveFollowsThePrefillTime() {
+        recordRequests(10, 1_000);
         assertThat(reserve.spare(engines(6), 200)).hasSize(4);
-        learn(20, 1_000);
+        recordRequests(20, 1_000);
         assertThat(reserve.spare(engines(6), 200)).hasSize(2);
     }
 
     @Test
     void testAllGatewaysReserveTheSameEngines() {
-        learn(10, 1_000);
+        recordRequests(10, 1_000);
         List<TargetLoad> shuffled = engines(6);
         Collections.shuffle(shuffled, new Random(3));
         assertThat(ids(reserve.spare(shuffled, 150)))
@@ -54,8 +54,8 @@
                 .hasSize(4);
     }
 
-    /** Lets the reserve see many requests of the same kind. */
-    private void learn(double promptMillis, double cost) {
+    /** Records many equal requests, until the initial values no longer matter. */
+    private void recordRequests(double promptMillis, double cost) {
         for (int request = 0; request < 1_000; request++) {
             reserve.sent(promptMillis, cost);
         }
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -20,14 +20,14 @@
 import org.martenwell.share.ShareTier;
 
 /**
- * Replays requests by the real placement of many gateways on a clock of its own. Gateways hear of
- * each other's requests late, as relays tell them. Engines read prompts one after the other, run as
- * many requests as they have slots, let a few more wait and reject the rest.
+ * A discrete-event simulation of the placement by many gateways. It runs the production classes on
+ * a simulated clock; reports between gateways are delayed, and engines process prefills one after
+ * the other, run a request per slot, queue a limited number and reject the rest.
  */
 final class PlacementSimulation {
 
-    /** The load that is replayed. */
-    record Load(
+    /** The size of the fleet, its load and the delay of reports. */
+    record Scenario(
             int gateways,
             int engines,
             double requestsPerSecond,
@@ -36,7 +36,7 @@
             long seconds,
             long seed) {}
 
-    /** What became of the requests. */
+    /** The numbers of requests by their outcome. */
     record Outcome(int asked, int inTime, int late, int refused, int rejected) {
 
         double inTimeShare() {
@@ -48,11 +48,16 @@
         }
     }
 
-    /** A kind of request: how often it comes, what it reads, answers and needs. */
+    /** A kind of request: its share of all requests, its sizes in tokens and its objective. */
     private record Kind(
-            double share, int shared, int things, int own, int answer, long objectiveMillis) {}
-
-    /** The kinds of a fleet that serves reports, questions and classifications. */
+            double share,
+            int sharedTokens,
+            int prefixes,
+            int own,
+            int answer,
+            long objectiveMillis) {}
+
+    /** Reports, questions and classifications. */
     private static final List<Kind> KINDS =
             List.of(
                     new Kind(0.25, 4_900, 980, 6_600, 380, 400),
@@ -61,34 +66,34 @@
 
     private static final EngineTerms TERMS = new EngineTerms(16, 636_749, true);
 
-    /** How many requests wait at an engine before it rejects more. */
-    private static final int QUEUE = 33;
+    /** The length of the queue of an engine. */
+    private static final int MAX_QUEUED = 33;
 
-    /** The rate at which engines read, in tokens a millisecond. */
-    private static final double READ_RATE = 157;
+    /** The prefill rate of engines, in tokens per millisecond. */
+    private static final double PREFILL_RATE = 157;
 
-    /** How long a first event takes besides reading, in milliseconds. */
-    private static final double FIRST_MILLIS = 26;
+    /** The time to the first event of an empty prompt, in milliseconds. */
+    private static final double BASE_MILLIS = 26;
 
-    /** How long a token takes at an empty engine, in milliseconds. */
-    private static final double STEP_MILLIS = 3.55;
+    /** The time per generated token at an idle engine, in milliseconds. */
+    private static final double TOKEN_MILLIS = 3.55;
 
-    /** How much longer it takes for each request beside it, in milliseconds. */
-    private static final double STEP_MILLIS_A_SLOT = 0.046;
+    /** The increase of that time for each running request, in milliseconds. */
+    private static final double TOKEN_MILLIS_PER_SLOT = 0.046;
 
-    /** How long a request travels from its caller to its engine and back, in milliseconds. */
-    private static final double TRAVEL_MILLIS = 15;
+    /** The network time from the caller to the engine and back, in milliseconds. */
+    private static final double NETWORK_MILLIS = 15;
 
-    /** The part of an objective for which a request waits for room. */
-    private static final double WAIT_PART = 0.2;
+    /** The fraction of the objective for which a request waits for capacity. */
+    private static final double WAIT_FRACTION = 0.2;
 
-    /** How often a request that waits looks for room, in milliseconds. */
-    private static final long LOOK_MILLIS = 10;
+    /** The interval at which a waiting request is placed again, in milliseconds. */
+    private static final long RETRY_MILLIS = 10;
 
-    private final Load load;
+    private final Scenario scenario;
 
-    /** Whether gateways reckon with what they don't know. */
-    private final boolean blurs;
+    /** Enables the noise on costs by which gateways allow for unreported work. */
+    private final boolean addsNoise;
 
     private final Random random;
 
@@ -115,35 +120,35 @@
 
     private record Event(double at, long order, Runnable action) {}
 
-    private PlacementSimulation(Load load, boolean blurs) {
-        this.load = load;
-        this.blurs = blurs;
-        this.random = new Random(load.seed());
-        for (int index = 0; index < load.engines(); index++) {
+    private PlacementSimulation(Scenario scenario, boolean addsNoise) {
+        this.scenario = scenario;
+        this.addsNoise = addsNoise;
+        this.random = new Random(scenario.seed());
+        for (int index = 0; index < scenario.engines(); index++) {
             engines.add(new Engine(index));
         }
-        for (int index = 0; index < load.gateways(); index++) {
+        for (int index = 0; index < scenario.gateways(); index++) {
             gateways.add(new Gateway(index));
         }
     }
 
-    /** Replays a load. */
-    static Outcome play(Load load) {
-        return new PlacementSimulation(load, true).play();
+    /** Simulates a scenario. */
+    static Outcome simulate(Scenario scenario) {
+        return new PlacementSimulation(scenario, true).simulate();
     }
 
-    /** Replays a load as if all that is known were true now. */
-    static Outcome playTrusting(Load load) {
-        return new PlacementSimulation(load, false).play();
+    /** Simulates a scenario in which gateways treat reported loads as current. */
+    static Outcome simulateWithoutNoise(Scenario scenario) {
+        return new PlacementSimulation(scenario, false).simulate();
     }
 
-    private Outcome play() {
-        double end = 1_000.0 * load.seconds();
+    private Outcome simulate() {
+        double end = 1_000.0 * scenario.seconds();
         for (double at = next(0); at < end; at = next(at)) {
             schedule(at, this::arrive);
         }
         for (Gateway each : gateways) {
-            each.reportFrom(random.nextDouble() * load.reportMillis(), end);
+            each.reportFrom(random.nextDouble() * scenario.reportMillis(), end);
         }
         while (!events.isEmpty()) {
             Event event = events.poll();
@@ -154,7 +159,7 @@
     }
 
     private double next(double at) {
-        return at - Math.log(1 - random.nextDouble()) * 1_000 / load.requestsPerSecond();
+        return at - Math.log(1 - random.nextDouble()) * 1_000 / scenario.requestsPerSecond();
     }
 
     private void schedule(double at, Runnable action) {
@@ -168,10 +173,10 @@
     }
 
     private Kind kind() {
-        double left = random.nextDouble();
+        double remaining = random.nextDouble();
         for (Kind each : KINDS) {
-            left -= each.share();
-            if (left < 0) {
+            remaining -= each.share();
+            if (remaining < 0) {
                 return each;
             }
         }
@@ -182,7 +187,7 @@
         return "domain-" + index % 5;
     }
 
-    /** A request on its way. */
+    /** A request and its placement. */
     private final class Request {
 
         private final Gateway gateway;
@@ -193,7 +198,7 @@
 
         private final int ownTokens;
 
-        private boolean sentBefore;
+        private boolean retried;
 
         private RunningRequest running;
 
@@ -201,14 +206,16 @@
             this.gateway = gateway;
             this.kind = kind;
             this.ownTokens = (int) (kind.own() * (0.5 + random.nextDouble()));
-            String thing = kind.answer() + "-" + random.nextInt(kind.things());
+            String prefix = kind.answer() + "-" + random.nextInt(kind.prefixes());
             List<PromptPart> parts =
-                    List.of(new PromptPart(thing, kind.shared()), new PromptPart("own", ownTokens));
+                    List.of(
+                            new PromptPart(prefix, kind.sharedTokens()),
+                            new PromptPart("own", ownTokens));
             this.need =
                     new PromptNeed(
                             "o",
                             PromptChain.of("m", parts),
-                            (long) kind.shared() + ownTokens,
+                            (long) kind.sharedTokens() + ownTokens,
                             kind.answer(),
                             kind.objectiveMillis(),
                             (long) now);
@@ -218,8 +225,8 @@
             Optional<EngineChoice> choice = gateway.choose(need);
             if (choice.isPresent()) {
                 send(choice.get().load(), choice.get().unreadTokens());
-            } else if (now - need.arrivedMillis() < WAIT_PART * need.objectiveMillis()) {
-                schedule(now + LOOK_MILLIS, this::place);
+            } else if (now - need.arrivedMillis() < WAIT_FRACTION * need.objectiveMillis()) {
+                schedule(now + RETRY_MILLIS, this::place);
             } else {
                 refused++;
             }
@@ -228,31 +235,31 @@
         private void send(TargetLoad target, long unread) {
             running = new RunningRequest(unread, (long) ownTokens + kind.answer(), (long) now, 0);
             target.sent(running);
-            gateway.unseen.sent(
-                    EngineChooser.workMillis(unread / READ_RATE, TERMS.slots()), (long) now);
+            gateway.unreported.sent(
+                    EngineChooser.workMillis(unread / PREFILL_RATE, TERMS.slots()), (long) now);
             target.memory().keep(need.chain(), TERMS.memoryTokens() / 2);
             Engine engine = engines.get(Integer.parseInt(target.target().id()));
-            if (!engine.take(this, unread)) {
+            if (!engine.accept(this, unread)) {
                 target.ended(running);
                 rejected++;
-                again(target);
+                retry(target);
             }
         }
 
-        private void again(TargetLoad full) {
+        private void retry(TargetLoad full) {
             full.health().close((long) now, 150);
-            if (sentBefore) {
+            if (retried) {
                 refused++;
                 return;
             }
-            sentBefore = true;
+            retried = true;
             gateway.leastLoaded()
                     .ifPresentOrElse(other -> send(other, need.promptTokens()), () -> refused++);
         }
 
         private void begun(Engine engine) {
             gateway.load(engine).begun(running);
-            if (now + TRAVEL_MILLIS - need.arrivedMillis() <= need.objectiveMillis()) {
+            if (now + NETWORK_MILLIS - need.arrivedMillis() <= need.objectiveMillis()) {
                 inTime++;
             } else {
                 late++;
@@ -264,23 +271,23 @@
         }
     }
 
-    /** An engine as it is. */
+    /** A simulated engine. */
     private final class Engine {
 
         private final int index;
 
         private final Deque<Runnable> waiting = new ArrayDeque<>();
 
-        private int runs;
+        private int running;
 
-        private double readerFreeAt;
+        private double prefillFreeAt;
 
         private Engine(int index) {
             this.index = index;
         }
 
-        private boolean take(Request request, long unread) {
-            if (waiting.size() >= QUEUE) {
+        private boolean accept(Request request, long unread) {
+            if (waiting.size() >= MAX_QUEUED) {
                 return false;
             }
             waiting.add(() -> start(request, unread));
@@ -289,28 +296,28 @@
         }
 
         private void startNext() {
-            while (runs < TERMS.slots() && !waiting.isEmpty()) {
-                runs++;
+            while (running < TERMS.slots() && !waiting.isEmpty()) {
+                running++;
                 waiting.poll().run();
             }
         }
 
         private void start(Request request, long unread) {
-            readerFreeAt = Math.max(now, readerFreeAt) + unread / READ_RATE;
-            double first = readerFreeAt + FIRST_MILLIS;
-            double step = STEP_MILLIS + STEP_MILLIS_A_SLOT * runs;
+            prefillFreeAt = Math.max(now, prefillFreeAt) + unread / PREFILL_RATE;
+            double first = prefillFreeAt + BASE_MILLIS;
+            double tokenMillis = TOKEN_MILLIS + TOKEN_MILLIS_PER_SLOT * running;
             schedule(first, () -> request.begun(this));
             schedule(
-                    first + step * request.kind.answer(),
+                    first + tokenMillis * request.kind.answer(),
                     () -> {
                         request.ended(this);
-                        runs--;
+                        running--;
                         startNext();
                     });
         }
     }
 
-    /** A gateway and what it knows. */
+    /** A simulated gateway with its view of the engines. */
     private final class Gateway {
 
         private final String name;
@@ -321,15 +328,15 @@
 
         private final ReadingRate rate = new ReadingRate();
 
-        private final UnseenWork unseen = new UnseenWork();
+        private final UnseenWork unreported = new UnseenWork();
 
-        /** The engines that had requests of this gateway when it last reported. */
-        private Set<Integer> loaded = Set.of();
+        /** The engines listed in the last report. */
+        private Set<Integer> reportedEngines = Set.of();
 
         private Gateway(int index) {
             this.name = "gateway-" + index;
             this.chooser = new EngineChooser(domain(index), random);
-            for (int engine = 0; engine < load.engines(); engine++) {
+            for (int engine = 0; engine < scenario.engines(); engine++) {
                 loads.add(
                         new TargetLoad(
                                 new DirectoryTarget(
@@ -341,12 +348,14 @@
                                         TERMS.slots(),
                                         false)));
             }
-            unseen.fleet(load.gateways() - 1, load.reportMillis() / 2.0 + load.delayMillis());
-            for (int lesson = 0; lesson < 200; lesson++) {
-                rate.observe(new RunningRequest(100, 0, 0, 0), (long) FIRST_MILLIS);
+            unreported.fleet(
+                    scenario.gateways() - 1,
+                    scenario.reportMillis() / 2.0 + scenario.delayMillis());
+            for (int sample = 0; sample < 200; sample++) {
+                rate.observe(new RunningRequest(100, 0, 0, 0), (long) BASE_MILLIS);
                 rate.observe(
                         new RunningRequest(6_000, 0, 0, 0),
-                        (long) (FIRST_MILLIS + 6_000 / READ_RATE));
+                        (long) (BASE_MILLIS + 6_000 / PREFILL_RATE));
             }
         }
 
@@ -372,7 +381,7 @@
                     keepers,
                     TERMS,
                     rate,
-                    blurs ? unseen.perTarget(load.engines(), (long) now) : 0,
+                    addsNoise ? unreported.perTarget(scenario.engines(), (long) now) : 0,
                     (long) now);
         }
 
@@ -387,33 +396,33 @@
                         at,
                         () -> {
                             report();
-                            reportFrom(at + load.reportMillis(), end);
+                            reportFrom(at + scenario.reportMillis(), end);
                         });
             }
         }
 
-        /** Tells all others what this gateway has on engines, some time later. */
+        /** Reports the loads of this gateway to all others, after the delay. */
         private void report() {
-            Map<Integer, LoadSums> told = new HashMap<>();
-            loaded.forEach(each -> told.put(each, LoadSums.NONE));
+            Map<Integer, LoadSums> reported = new HashMap<>();
+            reportedEngines.forEach(each -> reported.put(each, LoadSums.NONE));
             for (int engine = 0; engine < loads.size(); engine++) {
                 if (loads.get(engine).own().requests() > 0) {
-                    told.put(engine, loads.get(engine).own());
+                    reported.put(engine, loads.get(engine).own());
                 }
             }
-            loaded = Set.copyOf(told.keySet());
-            schedule(now + load.delayMillis(), () -> tell(told));
+            reportedEngines = Set.copyOf(reported.keySet());
+            schedule(now + scenario.delayMillis(), () -> deliver(reported));
         }
 
-        private void tell(Map<Integer, LoadSums> told) {
+        private void deliver(Map<Integer, LoadSums> reported) {
             for (Gateway each : gateways) {
                 if (each != this) {
-                    told.forEach((engine, sums) -> each.heard(name, engine, sums));
+                    reported.forEach((engine, sums) -> each.receive(name, engine, sums));
                 }
             }
         }
 
-        private void heard(String peer, int engine, LoadSums sums) {
+        private void receive(String peer, int engine, LoadSums sums) {
             loads.get(engine).peer(peer, sums, (long) now);
         }
     }
--- a/src/test/java/org/martenwell/balance/TargetHealthTest.java
+++ b/src/test/java/org/martenwell/balance/TargetHealthTest.java
@@ -7,7 +7,7 @@
 class TargetHealthTest {
 
     @Test
-    void testFailuresInARowCloseForATimeThatDoubles() {
+    void testConsecutiveFailuresSuspendForATimeThatDoubles() {
         TargetHealth health = new TargetHealth();
         health.failed(0);
         health.failed(0);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void testTargetThatWasNotReachedIsClosedAtOnce() {
+    void testFailureToConnectSuspendsImmediately() {
         TargetHealth health = new TargetHealth();
         health.notReached(0);
         assertThat(health.open(399)).isFalse();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void testGoodAnswerOpens() {
+    void testSuccessEndsTheSuspension() {
         TargetHealth health = new TargetHealth();
         for (int count = 0; count < 50; count++) {
             health.failed(0);
@@ -45,12 +45,12 @@
     }
 
     @Test
-    void testShareOfFailuresFallsWithTimeAndSuccess() {
+    void testFailureRateFallsWithTimeAndSuccess() {
         TargetHealth health = new TargetHealth();
         health.failed(0);
-        double first = health.failureShare(0);
-        assertThat(health.failureShare(3_000)).isLessThan(first / 2);
+        double first = health.failureRate(0);
+        assertThat(health.failureRate(3_000)).isLessThan(first / 2);
         health.succeeded(0);
-        assertThat(health.failureShare(0)).isLessThan(first);
+        assertThat(health.failureRate(0)).isLessThan(first);
     }
 }
