--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.hash.RendezvousHash;
-import org.martenwell.prompt.PromptMemory;
+import org.martenwell.prompt.PromptCacheView;
 
 /**
  * The state of a target as known to this gateway: the load of its own requests and of its peers'
@@ -44,7 +44,7 @@
     /** The last report of each peer with requests at the target, by peer. */
     private final Map<String, PeerLoad> peers = new HashMap<>();
 
-    private final PromptMemory memory = new PromptMemory();
+    private final PromptCacheView memory = new PromptCacheView();
 
     private final TargetHealth health = new TargetHealth();
 
@@ -99,7 +99,7 @@
     }
 
     /** {@return the estimate of the target's prompt cache} */
-    public PromptMemory memory() {
+    public PromptCacheView memory() {
         return memory;
     }
 
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -5,8 +5,8 @@
 import org.martenwell.exchange.HttpReply;
 import org.martenwell.prompt.KeptChanges;
 import org.martenwell.prompt.KeptPart;
+import org.martenwell.prompt.PromptCacheView;
 import org.martenwell.prompt.PromptChain;
-import org.martenwell.prompt.PromptMemory;
 
 /**
  * An engine whose word on what it keeps of prompts is followed. Its changes come late and some
@@ -140,7 +140,7 @@
     private void take(KeptPart kept) {
         long key = PromptChain.key(kept.model(), kept.part().id());
         long tokens = kept.part().tokens();
-        PromptMemory memory = target.load().memory();
+        PromptCacheView memory = target.load().memory();
         boolean news = tokens > 0 != memory.keeps(key);
         if (!news || (tokens > 0 && !core.sharedKeys().contains(key))) {
             return;
--- a/src/main/java/org/martenwell/prompt/PromptMemory.java
+++ b/src/main/java/org/martenwell/prompt/PromptCacheView.java
@@ -8,7 +8,7 @@
  * A gateway's estimate of a target's prompt cache. When the cache is full, the least recently used
  * parts are evicted.
  */
-public final class PromptMemory {
+public final class PromptCacheView {
 
     /** The sizes in tokens by key, least recently used first. */
     private final Map<Long, Long> sizes = new LinkedHashMap<>(16, 0.75f, true);
@@ -17,7 +17,7 @@
     private long totalTokens;
 
     /** Creates the view of an empty cache. */
-    public PromptMemory() {}
+    public PromptCacheView() {}
 
     /**
      * Records a part as cached and most recently used, and evicts parts beyond the capacity.
--- a/src/test/java/org/martenwell/prompt/PromptMemoryTest.java
+++ b/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class PromptMemoryTest {
+class PromptCacheViewTest {
 
     private static final PromptChain CHAIN = chain("model", "a", "b", "own");
 
@@ -25,7 +25,7 @@
 
     @Test
     void testPartCountsOnlyIfAllPartsBeforeItAreCached() {
-        PromptMemory memory = new PromptMemory();
+        PromptCacheView memory = new PromptCacheView();
         memory.keep(CHAIN.key(1), 100, 1_000);
         assertThat(memory.keptTokens(CHAIN)).isZero();
         memory.keep(CHAIN.key(0), 100, 1_000);
@@ -34,7 +34,7 @@
 
     @Test
     void testLeastRecentlyUsedPartsAreEvictedFirst() {
-        PromptMemory memory = new PromptMemory();
+        PromptCacheView memory = new PromptCacheView();
         memory.keep(CHAIN, 300);
         memory.keep(chain("model", "c", "x"), 300);
         memory.keep(CHAIN, 300);
--- a/src/test/java/org/martenwell/prompt/SharedKeysTest.java
+++ b/src/test/java/org/martenwell/prompt/SharedKeysTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void testEvictedPartFreesCapacity() {
-        PromptMemory memory = new PromptMemory();
+        PromptCacheView memory = new PromptCacheView();
         memory.keep(1, 60, 100);
         assertThat(memory.drop(1)).isTrue();
         assertThat(memory.drop(1)).isFalse();
