--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -127,7 +127,7 @@
             LoadSums sums = each.all(now);
             double backlog = rate.millis(sums.unreadTokens());
             Optional<TargetLoad> source = terms.copies() ? keepers.source(each) : Optional.empty();
-            long cached = source.isPresent() ? keepers.most() : keepers.keptTokens(each);
+            long cached = source.isPresent() ? keepers.most() : keepers.cachedTokens(each);
             long prefill = need.promptTokens() - cached;
             double prefillMillis = rate.millis(prefill) + (source.isPresent() ? COPY_MILLIS : 0);
             if (backlog > allowedBacklogMillis(need, tier, prefillMillis, rate, now)) {
--- a/src/main/java/org/martenwell/balance/PromptKeepers.java
+++ b/src/main/java/org/martenwell/balance/PromptKeepers.java
@@ -56,7 +56,7 @@
      * @param load The engine.
      * @return The tokens, 0 if none.
      */
-    public long keptTokens(TargetLoad load) {
+    public long cachedTokens(TargetLoad load) {
         return kept.getOrDefault(load, 0L);
     }
 
@@ -76,7 +76,7 @@
      * @return The engine with the most cached tokens, or empty if the gain is too small.
      */
     public Optional<TargetLoad> source(TargetLoad load) {
-        boolean worthwhile = most - keptTokens(load) >= MIN_COPY_TOKENS;
+        boolean worthwhile = most - cachedTokens(load) >= MIN_COPY_TOKENS;
         return worthwhile ? Optional.ofNullable(largestHolder) : Optional.empty();
     }
 
@@ -91,7 +91,7 @@
     }
 
     private void addCached(TargetLoad load, PromptChain chain) {
-        long tokens = load.memory().keptTokens(chain);
+        long tokens = load.memory().cachedTokens(chain);
         if (tokens > 0) {
             kept.put(load, tokens);
         }
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -290,7 +290,7 @@
         PromptKeepers keepers =
                 PromptKeepers.of(need.chain(), open, core.targets().leaving(service));
         Optional<TargetLoad> source = engine.copies() ? keepers.source(load) : Optional.empty();
-        long kept = source.isPresent() ? keepers.most() : keepers.keptTokens(load);
+        long kept = source.isPresent() ? keepers.most() : keepers.cachedTokens(load);
         return new EngineChoice(load, need.promptTokens() - kept, Double.MAX_VALUE, source);
     }
 }
--- a/src/main/java/org/martenwell/prompt/PromptCacheView.java
+++ b/src/main/java/org/martenwell/prompt/PromptCacheView.java
@@ -93,7 +93,7 @@
      * @param chain The chain.
      * @return The tokens of the parts before the first one that is not cached.
      */
-    public long keptTokens(PromptChain chain) {
+    public long cachedTokens(PromptChain chain) {
         long tokens = 0;
         for (int index = 0; index < chain.length(); index++) {
             if (!sizes.containsKey(chain.key(index))) {
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -88,11 +88,11 @@
     void testRefusedPromptIsNotTakenToBeKeptAndABegunOneIs() {
         routing.sent(choice(loads.get(0)));
         routing.notRead();
-        assertThat(loads.get(0).memory().keptTokens(chain)).isZero();
+        assertThat(loads.get(0).memory().cachedTokens(chain)).isZero();
         routing.sent(choice(loads.get(0)));
         routing.begun(new RunningRequest(5_009, 10, core.now(), 0));
         routing.notRead();
-        assertThat(loads.get(0).memory().keptTokens(chain)).isEqualTo(5_000);
+        assertThat(loads.get(0).memory().cachedTokens(chain)).isEqualTo(5_000);
     }
 
     /**
--- a/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
+++ b/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
@@ -45,10 +45,10 @@
         core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
         load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
         PlacedPrompt placed = PlacedPrompt.at(core, load, chain);
-        assertThat(load.memory().keptTokens(chain)).isEqualTo(300);
+        assertThat(load.memory().cachedTokens(chain)).isEqualTo(300);
         core.takePlaced();
         placed.takeBack();
-        assertThat(load.memory().keptTokens(chain)).isEqualTo(100);
+        assertThat(load.memory().cachedTokens(chain)).isEqualTo(100);
         assertThat(core.takePlaced())
                 .containsExactly(new PlacedPart("t@1", PromptChain.key("m", SPECIAL.id()), 0));
     }
--- a/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
+++ b/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
@@ -27,9 +27,9 @@
     void testPartCountsOnlyIfAllPartsBeforeItAreCached() {
         PromptCacheView memory = new PromptCacheView();
         memory.keep(CHAIN.key(1), 100, 1_000);
-        assertThat(memory.keptTokens(CHAIN)).isZero();
+        assertThat(memory.cachedTokens(CHAIN)).isZero();
         memory.keep(CHAIN.key(0), 100, 1_000);
-        assertThat(memory.keptTokens(CHAIN)).isEqualTo(200);
+        assertThat(memory.cachedTokens(CHAIN)).isEqualTo(200);
     }
 
     @Test
@@ -39,8 +39,8 @@
         memory.keep(chain("model", "c", "x"), 300);
         memory.keep(CHAIN, 300);
         memory.keep(chain("model", "d", "x"), 300);
-        assertThat(memory.keptTokens(CHAIN)).isEqualTo(200);
-        assertThat(memory.keptTokens(chain("model", "c", "x"))).isZero();
+        assertThat(memory.cachedTokens(CHAIN)).isEqualTo(200);
+        assertThat(memory.cachedTokens(chain("model", "c", "x"))).isZero();
     }
 
     private static PromptChain chain(String model, String... ids) {
