--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -103,7 +103,7 @@
      * @param need The demand of the request.
      * @param tier The fair share that it falls within.
      * @param candidates The engines selected by {@link #withRoom}.
-     * @param keepers The cached parts of the prompt by engine.
+     * @param cacheLookup The cached parts of the prompt by engine.
      * @param terms The limits of the service's engines.
      * @param rate The prefill rate of the service's engines.
      * @param unreportedMillis The estimated work that peers have sent to each engine since their
@@ -115,19 +115,20 @@
             PromptNeed need,
             ShareTier tier,
             Collection<TargetLoad> candidates,
-            PromptKeepers keepers,
+            PromptCacheLookup cacheLookup,
             EngineTerms terms,
             ReadingRate rate,
             double unreportedMillis,
             long now) {
-        double affinity = affinityMillis(need, keepers, rate);
+        double affinity = affinityMillis(need, cacheLookup, rate);
         EngineChoice best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         for (TargetLoad each : candidates) {
             LoadSums sums = each.all(now);
             double backlog = rate.millis(sums.unreadTokens());
-            Optional<TargetLoad> source = terms.copies() ? keepers.source(each) : Optional.empty();
-            long cached = source.isPresent() ? keepers.most() : keepers.cachedTokens(each);
+            Optional<TargetLoad> source =
+                    terms.copies() ? cacheLookup.source(each) : Optional.empty();
+            long cached = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(each);
             long prefill = need.promptTokens() - cached;
             double prefillMillis = rate.millis(prefill) + (source.isPresent() ? COPY_MILLIS : 0);
             if (backlog > allowedBacklogMillis(need, tier, prefillMillis, rate, now)) {
@@ -141,7 +142,7 @@
                             + (each.target().failureDomain().equals(failureDomain)
                                     ? 0
                                     : OTHER_DOMAIN_MILLIS)
-                            - (keepers.isPreferred(each) ? affinity : 0)
+                            - (cacheLookup.isPreferred(each) ? affinity : 0)
                             + gumbelNoise(unreportedMillis);
             if (cost < bestCost) {
                 bestCost = cost;
@@ -172,12 +173,13 @@
      * gateways prefer the same engine, so parts that are cached nowhere yet need prefill only once.
      *
      * @param need The demand of the request.
-     * @param keepers The cached parts of the prompt by engine.
+     * @param cacheLookup The cached parts of the prompt by engine.
      * @param rate The prefill rate of the engines.
      * @return The reduction in milliseconds.
      */
-    private static double affinityMillis(PromptNeed need, PromptKeepers keepers, ReadingRate rate) {
-        long uncachedTokens = Math.max(0, need.chain().totalTokens() - keepers.most());
+    private static double affinityMillis(
+            PromptNeed need, PromptCacheLookup cacheLookup, ReadingRate rate) {
+        long uncachedTokens = Math.max(0, need.chain().totalTokens() - cacheLookup.most());
         return Math.max(MIN_AFFINITY_MILLIS, rate.millis(uncachedTokens));
     }
 
--- a/src/main/java/org/martenwell/balance/PromptKeepers.java
+++ b/src/main/java/org/martenwell/balance/PromptCacheLookup.java
@@ -10,7 +10,7 @@
 /**
  * The cached tokens of one prompt by engine, and the engine that the hash prefers for the prompt.
  */
-public final class PromptKeepers {
+public final class PromptCacheLookup {
 
     /** The smallest gain for which cached parts are copied, in tokens. */
     private static final long MIN_COPY_TOKENS = 16;
@@ -29,7 +29,7 @@
 
     private long preferredScore = Long.MIN_VALUE;
 
-    private PromptKeepers() {}
+    private PromptCacheLookup() {}
 
     /**
      * Looks up a prompt in the caches of engines.
@@ -39,15 +39,15 @@
      * @param leaving The engines that can't be chosen but can serve as the source of a copy.
      * @return The result.
      */
-    public static PromptKeepers of(
+    public static PromptCacheLookup of(
             PromptChain chain, Collection<TargetLoad> loads, Collection<TargetLoad> leaving) {
-        PromptKeepers keepers = new PromptKeepers();
+        PromptCacheLookup cacheLookup = new PromptCacheLookup();
         for (TargetLoad each : loads) {
-            keepers.addCached(each, chain);
-            keepers.updatePreferred(each, chain);
+            cacheLookup.addCached(each, chain);
+            cacheLookup.updatePreferred(each, chain);
         }
-        leaving.forEach(each -> keepers.addCached(each, chain));
-        return keepers;
+        leaving.forEach(each -> cacheLookup.addCached(each, chain));
+        return cacheLookup;
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.martenwell.balance.EngineChoice;
 import org.martenwell.balance.EngineChooser;
-import org.martenwell.balance.PromptKeepers;
+import org.martenwell.balance.PromptCacheLookup;
 import org.martenwell.balance.PromptNeed;
 import org.martenwell.balance.ReadingRate;
 import org.martenwell.balance.RunningRequest;
@@ -167,9 +167,10 @@
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        PromptKeepers keepers = PromptKeepers.of(need.chain(), allowed, handingOver(open, allowed));
+        PromptCacheLookup cacheLookup =
+                PromptCacheLookup.of(need.chain(), allowed, handingOver(open, allowed));
         double unseen = core.unseen().perTarget(open.size(), now);
-        return chooser.choose(need, tier, candidates, keepers, engine, rate, unseen, now);
+        return chooser.choose(need, tier, candidates, cacheLookup, engine, rate, unseen, now);
     }
 
     /**
@@ -287,10 +288,10 @@
      * @return The choice.
      */
     private EngineChoice anyway(TargetLoad load, List<TargetLoad> open) {
-        PromptKeepers keepers =
-                PromptKeepers.of(need.chain(), open, core.targets().leaving(service));
-        Optional<TargetLoad> source = engine.copies() ? keepers.source(load) : Optional.empty();
-        long kept = source.isPresent() ? keepers.most() : keepers.cachedTokens(load);
+        PromptCacheLookup cacheLookup =
+                PromptCacheLookup.of(need.chain(), open, core.targets().leaving(service));
+        Optional<TargetLoad> source = engine.copies() ? cacheLookup.source(load) : Optional.empty();
+        long kept = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(load);
         return new EngineChoice(load, need.promptTokens() - kept, Double.MAX_VALUE, source);
     }
 }
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -55,9 +55,9 @@
         add("one", "domain-a");
         add("two", "domain-a");
         loads.get(1).memory().keep(chain(), 100_000);
-        PromptKeepers keepers = PromptKeepers.of(chain(), loads, draining);
-        assertThat(keepers.source(loads.get(0))).contains(loads.get(1));
-        assertThat(keepers.source(loads.get(1))).isEmpty();
+        PromptCacheLookup cacheLookup = PromptCacheLookup.of(chain(), loads, draining);
+        assertThat(cacheLookup.source(loads.get(0))).contains(loads.get(1));
+        assertThat(cacheLookup.source(loads.get(1))).isEmpty();
     }
 
     @Test
@@ -160,8 +160,8 @@
 
     private Optional<EngineChoice> choose(PromptNeed need, ShareTier tier) {
         List<TargetLoad> candidates = chooser.withRoom(need, tier, loads, TERMS, rate, 0);
-        PromptKeepers keepers = PromptKeepers.of(need.chain(), loads, draining);
-        return chooser.choose(need, tier, candidates, keepers, TERMS, rate, 0, 0);
+        PromptCacheLookup cacheLookup = PromptCacheLookup.of(need.chain(), loads, draining);
+        return chooser.choose(need, tier, candidates, cacheLookup, TERMS, rate, 0, 0);
     }
 
     private static PromptChain chain() {
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -373,12 +373,12 @@
             if (candidates.isEmpty()) {
                 return Optional.empty();
             }
-            PromptKeepers keepers = PromptKeepers.of(need.chain(), open(), List.of());
+            PromptCacheLookup cacheLookup = PromptCacheLookup.of(need.chain(), open(), List.of());
             return chooser.choose(
                     need,
                     ShareTier.PROMISED,
                     candidates,
-                    keepers,
+                    cacheLookup,
                     TERMS,
                     rate,
                     addsNoise ? unreported.perTarget(scenario.engines(), (long) now) : 0,
