--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -83,7 +83,7 @@
             ShareTier tier,
             Collection<TargetLoad> loads,
             EngineTerms terms,
-            ReadingRate rate,
+            PrefillRate rate,
             long now) {
         double maxBacklogMillis = allowedBacklogMillis(need, tier, 0, rate, now);
         List<TargetLoad> found = new ArrayList<>();
@@ -117,7 +117,7 @@
             Collection<TargetLoad> candidates,
             PromptCacheLookup cacheLookup,
             EngineTerms terms,
-            ReadingRate rate,
+            PrefillRate rate,
             double unreportedMillis,
             long now) {
         double affinity = affinityMillis(need, cacheLookup, rate);
@@ -178,7 +178,7 @@
      * @return The reduction in milliseconds.
      */
     private static double affinityMillis(
-            PromptNeed need, PromptCacheLookup cacheLookup, ReadingRate rate) {
+            PromptNeed need, PromptCacheLookup cacheLookup, PrefillRate rate) {
         long uncachedTokens = Math.max(0, need.chain().totalTokens() - cacheLookup.most());
         return Math.max(MIN_AFFINITY_MILLIS, rate.millis(uncachedTokens));
     }
@@ -214,7 +214,7 @@
      * @return The backlog in milliseconds.
      */
     private static double allowedBacklogMillis(
-            PromptNeed need, ShareTier tier, double prefillMillis, ReadingRate rate, long now) {
+            PromptNeed need, ShareTier tier, double prefillMillis, PrefillRate rate, long now) {
         double minBacklogMillis = tier.waitFraction() * need.objectiveMillis();
         if (tier == ShareTier.BEYOND) {
             return minBacklogMillis;
--- a/src/main/java/org/martenwell/balance/EngineReserve.java
+++ b/src/main/java/org/martenwell/balance/EngineReserve.java
@@ -17,7 +17,7 @@
      * The initial prefill time per token of cost, in milliseconds. It assumes that prompts make up
      * half of the cost.
      */
-    private static final double INITIAL_MILLIS_PER_TOKEN = 0.5 / ReadingRate.INITIAL_RATE;
+    private static final double INITIAL_MILLIS_PER_TOKEN = 0.5 / PrefillRate.INITIAL_RATE;
 
     /** The factor by which earlier requests lose weight with each new one. */
     private static final double DECAY = 0.98;
--- a/src/main/java/org/martenwell/balance/ReadingRate.java
+++ b/src/main/java/org/martenwell/balance/PrefillRate.java
@@ -4,7 +4,7 @@
  * Estimates the prefill rate of a service's engines from the time to the first event of requests
  * that found an engine without a backlog.
  */
-public final class ReadingRate {
+public final class PrefillRate {
 
     /** The initial rate, in tokens per millisecond. */
     static final double INITIAL_RATE = 80;
@@ -34,7 +34,7 @@
     private double baseMillis = INITIAL_BASE_MILLIS;
 
     /** Creates an estimate with the initial values. */
-    public ReadingRate() {}
+    public PrefillRate() {}
 
     /**
      * Updates the estimate by a request. Outliers are limited to a multiple of the present
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import org.martenwell.balance.EngineChoice;
 import org.martenwell.balance.EngineChooser;
+import org.martenwell.balance.PrefillRate;
 import org.martenwell.balance.PromptCacheLookup;
 import org.martenwell.balance.PromptNeed;
-import org.martenwell.balance.ReadingRate;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
@@ -161,7 +161,7 @@
      */
     private Optional<EngineChoice> choose(
             List<TargetLoad> open, List<TargetLoad> allowed, long now) {
-        ReadingRate rate = core.targets().rate(service);
+        PrefillRate rate = core.targets().rate(service);
         EngineChooser chooser = core.engines();
         List<TargetLoad> candidates = chooser.withRoom(need, tier, allowed, engine, rate, now);
         if (candidates.isEmpty()) {
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -14,7 +14,7 @@
 import org.martenwell.balance.Availabilities;
 import org.martenwell.balance.Availability;
 import org.martenwell.balance.NoticeSource;
-import org.martenwell.balance.ReadingRate;
+import org.martenwell.balance.PrefillRate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.exchange.HttpCaller;
@@ -43,7 +43,7 @@
     private final Map<String, KnownTarget> lives = new HashMap<>();
 
     /** The reading rates by service. */
-    private final Map<String, ReadingRate> rates = new HashMap<>();
+    private final Map<String, PrefillRate> rates = new HashMap<>();
 
     /**
      * How long the own directory may take to tell that a target leaves which is known already, in
@@ -305,8 +305,8 @@
      * @param service The service.
      * @return The rate.
      */
-    ReadingRate rate(String service) {
-        return rates.computeIfAbsent(service, name -> new ReadingRate());
+    PrefillRate rate(String service) {
+        return rates.computeIfAbsent(service, name -> new PrefillRate());
     }
 
     /** Closes all idle connections. */
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -21,7 +21,7 @@
 
     private final EngineChooser chooser = new EngineChooser("domain-a", new Random(1));
 
-    private final ReadingRate rate = new ReadingRate();
+    private final PrefillRate rate = new PrefillRate();
 
     private final List<TargetLoad> loads = new ArrayList<>();
 
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -326,7 +326,7 @@
 
         private final EngineChooser chooser;
 
-        private final ReadingRate rate = new ReadingRate();
+        private final PrefillRate rate = new PrefillRate();
 
         private final UnseenWork unreported = new UnseenWork();
 
