--- a/src/main/java/org/martenwell/balance/EngineChoice.java
+++ b/src/main/java/org/martenwell/balance/EngineChoice.java
@@ -6,10 +6,11 @@
  * The placement of a request on a model engine.
  *
  * @param load The chosen engine.
- * @param unreadTokens The tokens of the prompt that are not in the engine's cache and need prefill.
+ * @param prefillTokens The tokens of the prompt that are not in the engine's cache and need
+ *     prefill.
  * @param backlogMillis The estimated time for which the engine is busy before the request, in
  *     milliseconds.
  * @param copyFrom The engine from which cached parts of the prompt are copied, or empty if none.
  */
 public record EngineChoice(
-        TargetLoad load, long unreadTokens, double backlogMillis, Optional<TargetLoad> copyFrom) {}
+        TargetLoad load, long prefillTokens, double backlogMillis, Optional<TargetLoad> copyFrom) {}
--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -90,7 +90,7 @@
         for (TargetLoad each : loads) {
             LoadSums sums = each.all(now);
             if (hasCapacity(each, sums, need, tier, terms)
-                    && rate.millis(sums.unreadTokens()) <= maxBacklogMillis) {
+                    && rate.millis(sums.prefillTokens()) <= maxBacklogMillis) {
                 found.add(each);
             }
         }
@@ -125,7 +125,7 @@
         double bestCost = Double.POSITIVE_INFINITY;
         for (TargetLoad each : candidates) {
             LoadSums sums = each.all(now);
-            double backlog = rate.millis(sums.unreadTokens());
+            double backlog = rate.millis(sums.prefillTokens());
             Optional<TargetLoad> source =
                     terms.copies() ? cacheLookup.source(each) : Optional.empty();
             long cached = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(each);
--- a/src/main/java/org/martenwell/balance/LoadSums.java
+++ b/src/main/java/org/martenwell/balance/LoadSums.java
@@ -4,10 +4,10 @@
  * The load of requests on a target.
  *
  * @param requests The number of requests.
- * @param unreadTokens The prompt tokens whose prefill has not finished.
+ * @param prefillTokens The prompt tokens whose prefill has not finished.
  * @param memoryTokens The memory that the requests need, in tokens.
  */
-public record LoadSums(int requests, long unreadTokens, long memoryTokens) {
+public record LoadSums(int requests, long prefillTokens, long memoryTokens) {
 
     /** The load of no requests. */
     public static final LoadSums NONE = new LoadSums(0, 0, 0);
@@ -21,7 +21,7 @@
     public LoadSums plus(LoadSums other) {
         return new LoadSums(
                 requests + other.requests,
-                unreadTokens + other.unreadTokens,
+                prefillTokens + other.prefillTokens,
                 memoryTokens + other.memoryTokens);
     }
 
@@ -34,7 +34,7 @@
     public LoadSums minus(LoadSums other) {
         return new LoadSums(
                 requests - other.requests,
-                unreadTokens - other.unreadTokens,
+                prefillTokens - other.prefillTokens,
                 memoryTokens - other.memoryTokens);
     }
 }
--- a/src/main/java/org/martenwell/balance/PrefillRate.java
+++ b/src/main/java/org/martenwell/balance/PrefillRate.java
@@ -48,12 +48,12 @@
         if (request.backlogMillis() > MAX_BACKLOG_MILLIS) {
             return;
         }
-        if (request.unreadTokens() < BASE_SAMPLE_TOKENS) {
+        if (request.prefillTokens() < BASE_SAMPLE_TOKENS) {
             baseMillis +=
                     SMOOTHING * (Math.min((double) firstEventMillis, 4 * baseMillis) - baseMillis);
-        } else if (request.unreadTokens() >= MIN_RATE_SAMPLE_TOKENS) {
+        } else if (request.prefillTokens() >= MIN_RATE_SAMPLE_TOKENS) {
             double prefillMillis = Math.max(1, firstEventMillis - baseMillis);
-            double sample = request.unreadTokens() / prefillMillis;
+            double sample = request.prefillTokens() / prefillMillis;
             double bounded = Math.min(4 * rate, Math.max(rate / 4, sample));
             rate = Math.max(MIN_RATE, rate + SMOOTHING * (bounded - rate));
         }
--- a/src/main/java/org/martenwell/balance/RunningRequest.java
+++ b/src/main/java/org/martenwell/balance/RunningRequest.java
@@ -3,17 +3,17 @@
 /**
  * A request that was sent to a target and has not ended.
  *
- * @param unreadTokens The prompt tokens that need prefill.
+ * @param prefillTokens The prompt tokens that need prefill.
  * @param memoryTokens The memory of the target that the request uses alone, in tokens.
  * @param sentMillis The time at which it was sent, in milliseconds.
  * @param backlogMillis The estimated time for which the target was busy before the request, in
  *     milliseconds.
  */
 public record RunningRequest(
-        long unreadTokens, long memoryTokens, long sentMillis, double backlogMillis) {
+        long prefillTokens, long memoryTokens, long sentMillis, double backlogMillis) {
 
     /** {@return the load of this request alone} */
     LoadSums sums() {
-        return new LoadSums(1, unreadTokens, memoryTokens);
+        return new LoadSums(1, prefillTokens, memoryTokens);
     }
 }
--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -132,7 +132,7 @@
      */
     public void begun(RunningRequest request) {
         if (awaitingFirstEvent.remove(request)) {
-            own = own.minus(new LoadSums(0, request.unreadTokens(), 0));
+            own = own.minus(new LoadSums(0, request.prefillTokens(), 0));
         }
     }
 
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -199,7 +199,7 @@
             core.shares().begun(need.organisation(), need.cost(), tier, core.now());
             counted = Optional.of(new Counted(tier, core.now()));
         }
-        double promptMillis = core.targets().rate(service).millis(choice.unreadTokens());
+        double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
         core.unseen().sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, need.cost());
@@ -254,7 +254,7 @@
      */
     RunningRequest running(EngineChoice choice) {
         return new RunningRequest(
-                choice.unreadTokens(),
+                choice.prefillTokens(),
                 need.ownTokens() + need.answerTokens(),
                 core.now(),
                 choice.backlogMillis());
--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -123,7 +123,7 @@
                             .with("organisation", organisation)
                             .with("tier", use.tier())
                             .with("promisedUse", use.promised())
-                            .with("unreadTokens", choice.unreadTokens())
+                            .with("unreadTokens", choice.prefillTokens())
                             .with("backlogMillis", Math.round(choice.backlogMillis()))
                             .with("copy", choice.copyFrom().isPresent()));
         }
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -35,7 +35,7 @@
         for (TargetLoadReport each : message.loads()) {
             writer.name(each.target());
             writer.number(each.sums().requests());
-            writer.number(each.sums().unreadTokens());
+            writer.number(each.sums().prefillTokens());
             writer.number(each.sums().memoryTokens());
         }
         write(message.shares(), writer);
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -34,7 +34,7 @@
         loads.get(1).memory().keep(chain(), 100_000);
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("two");
-        assertThat(choice.unreadTokens()).isEqualTo(500);
+        assertThat(choice.prefillTokens()).isEqualTo(500);
         assertThat(choice.copyFrom()).isEmpty();
     }
 
@@ -69,7 +69,7 @@
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
         assertThat(choice.copyFrom()).contains(loads.get(1));
-        assertThat(choice.unreadTokens()).isEqualTo(500);
+        assertThat(choice.prefillTokens()).isEqualTo(500);
     }
 
     @Test
@@ -81,7 +81,7 @@
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
         assertThat(choice.copyFrom()).contains(draining.get(0));
-        assertThat(choice.unreadTokens()).isEqualTo(500);
+        assertThat(choice.prefillTokens()).isEqualTo(500);
     }
 
     @Test
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -224,7 +224,7 @@
         private void place() {
             Optional<EngineChoice> choice = gateway.choose(need);
             if (choice.isPresent()) {
-                send(choice.get().load(), choice.get().unreadTokens());
+                send(choice.get().load(), choice.get().prefillTokens());
             } else if (now - need.arrivedMillis() < WAIT_FRACTION * need.objectiveMillis()) {
                 schedule(now + RETRY_MILLIS, this::place);
             } else {
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -70,7 +70,7 @@
         EngineChoice choice = routing.decide(loads, 1, null).choice().orElseThrow();
         assertThat(choice.load()).isSameAs(loads.get(0));
         assertThat(choice.copyFrom()).contains(loads.get(1));
-        assertThat(choice.unreadTokens()).isEqualTo(9);
+        assertThat(choice.prefillTokens()).isEqualTo(9);
     }
 
     @Test
