--- a/src/main/java/org/martenwell/balance/UnseenWork.java
+++ b/src/main/java/org/martenwell/balance/UnreportedWork.java
@@ -4,7 +4,7 @@
  * Estimates the work that peers have sent to each target since their last reports. It assumes that
  * requests are spread evenly over the gateways, so that each peer sends as much as this one.
  */
-public final class UnseenWork {
+public final class UnreportedWork {
 
     /** The time constant of the decaying sum of sent work, in milliseconds. */
     private static final double DECAY_MILLIS = 2_000;
@@ -25,7 +25,7 @@
     private double reportAgeMillis;
 
     /** Creates an estimate for a single gateway. */
-    public UnseenWork() {}
+    public UnreportedWork() {}
 
     /**
      * Updates the size of the fleet.
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -169,8 +169,9 @@
         }
         PromptCacheLookup cacheLookup =
                 PromptCacheLookup.of(need.chain(), allowed, handingOver(open, allowed));
-        double unseen = core.unseen().perTarget(open.size(), now);
-        return chooser.choose(need, tier, candidates, cacheLookup, engine, rate, unseen, now);
+        double unreportedWork = core.unreportedWork().perTarget(open.size(), now);
+        return chooser.choose(
+                need, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
     }
 
     /**
@@ -200,7 +201,8 @@
             counted = Optional.of(new Counted(tier, core.now()));
         }
         double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
-        core.unseen().sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
+        core.unreportedWork()
+                .sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, need.cost());
         }
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -12,7 +12,7 @@
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ServiceChooser;
 import org.martenwell.balance.TargetLoad;
-import org.martenwell.balance.UnseenWork;
+import org.martenwell.balance.UnreportedWork;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.SharedKeys;
 import org.martenwell.quarantine.FingerprintFunction;
@@ -54,7 +54,7 @@
     private final EngineChooser engines;
 
     /** Estimates what peers put on engines since they last told of it. */
-    private final UnseenWork unseen = new UnseenWork();
+    private final UnreportedWork unreportedWork = new UnreportedWork();
 
     /** Keeps engines for requests within fair shares. */
     private final EngineReserve reserve = new EngineReserve();
@@ -265,8 +265,8 @@
      *
      * @return The estimate.
      */
-    UnseenWork unseen() {
-        return unseen;
+    UnreportedWork unreportedWork() {
+        return unreportedWork;
     }
 
     /**
@@ -363,7 +363,7 @@
      */
     void fleet(int count, double ageMillis) {
         members = count;
-        unseen.fleet(count - 1, ageMillis);
+        unreportedWork.fleet(count - 1, ageMillis);
     }
 
     /**
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -328,7 +328,7 @@
 
         private final PrefillRate rate = new PrefillRate();
 
-        private final UnseenWork unreported = new UnseenWork();
+        private final UnreportedWork unreported = new UnreportedWork();
 
         /** The engines listed in the last report. */
         private Set<Integer> reportedEngines = Set.of();
--- a/src/test/java/org/martenwell/balance/UnseenWorkTest.java
+++ b/src/test/java/org/martenwell/balance/UnreportedWorkTest.java
@@ -5,9 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
-final class UnseenWorkTest {
+final class UnreportedWorkTest {
 
-    private final UnseenWork unreported = new UnseenWork();
+    private final UnreportedWork unreported = new UnreportedWork();
 
     @Test
     void testSingleGatewayHasNoUnreportedWork() {
