--- a/src/main/java/org/martenwell/balance/TargetHealth.java
+++ b/src/main/java/org/martenwell/balance/TargetHealth.java
@@ -68,7 +68,7 @@
      *
      * @param now The current time, in milliseconds.
      */
-    public void notReached(long now) {
+    public void connectFailed(long now) {
         consecutiveFailures = Math.max(consecutiveFailures, FAILURE_THRESHOLD - 1);
         failed(now);
     }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -476,7 +476,7 @@
         engines.ifPresent(EngineRouting::notRead);
         if (!failure.sent()) {
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
-            from.target().load().health().notReached(core.now());
+            from.target().load().health().connectFailed(core.now());
             if (failure == AnswerFailure.REFUSED) {
                 core.harmful().targetEnded(from.target());
             }
@@ -539,7 +539,7 @@
 
     /** Tries another target behind one that was not reachable, since nothing was sent. */
     private void retryUnreachable() {
-        history.notReached();
+        history.connectFailed();
         if (history.mayTryFurther() && leftMillis() > 0) {
             trySend();
         } else {
--- a/src/main/java/org/martenwell/gateway/SendHistory.java
+++ b/src/main/java/org/martenwell/gateway/SendHistory.java
@@ -45,7 +45,7 @@
     }
 
     /** Takes back that the request was sent, since its target was not reachable. */
-    void notReached() {
+    void connectFailed() {
         notSent();
         unreachable++;
     }
--- a/src/main/java/org/martenwell/gateway/TargetEnds.java
+++ b/src/main/java/org/martenwell/gateway/TargetEnds.java
@@ -148,7 +148,7 @@
     private void probed(KnownTarget target, Life life, Reach reach) {
         life.probing = false;
         if (reach == Reach.REFUSED) {
-            target.load().health().notReached(reactor.currentTimeMillis());
+            target.load().health().connectFailed(reactor.currentTimeMillis());
             end(target, life);
         }
         // One that is accepted may have come too late and reach the target's next life, so the
--- a/src/test/java/org/martenwell/balance/TargetHealthTest.java
+++ b/src/test/java/org/martenwell/balance/TargetHealthTest.java
@@ -23,10 +23,10 @@
     @Test
     void testFailureToConnectSuspendsImmediately() {
         TargetHealth health = new TargetHealth();
-        health.notReached(0);
+        health.connectFailed(0);
         assertThat(health.open(399)).isFalse();
         assertThat(health.open(400)).isTrue();
-        health.notReached(400);
+        health.connectFailed(400);
         assertThat(health.open(1_199)).isFalse();
         health.succeeded(1_200);
         health.failed(1_200);
--- a/src/test/java/org/martenwell/gateway/SendHistoryTest.java
+++ b/src/test/java/org/martenwell/gateway/SendHistoryTest.java
@@ -18,7 +18,7 @@
     @Test
     void testRequestCountsAsNewOnceThoughItsTargetsWereNotReached() {
         assertThat(history.begin("one")).isTrue();
-        history.notReached();
+        history.connectFailed();
         assertThat(history.begin("two")).isFalse();
         history.notSent();
         assertThat(history.begin("three")).isFalse();
@@ -29,11 +29,11 @@
     void testFourthTargetThatIsNotReachedIsTheLast() {
         for (int target = 0; target < 3; target++) {
             history.begin("target-" + target);
-            history.notReached();
+            history.connectFailed();
         }
         assertThat(history.mayTryFurther()).isTrue();
         history.begin("target-3");
-        history.notReached();
+        history.connectFailed();
         assertThat(history.mayTryFurther()).isFalse();
         assertThat(history.attempts()).isZero();
         assertThat(history.tried()).hasSize(4);
