--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -284,7 +284,7 @@
      * @return The tokens of capacity a millisecond, 0 if the configuration promises no capacity.
      */
     double tokensWithinShares() {
-        return promisedTokens() * shares.askedWithin() / SECOND_MILLIS;
+        return promisedTokens() * shares.promisedDemand() / SECOND_MILLIS;
     }
 
     /**
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -60,7 +60,7 @@
     private long computedMillis = Long.MIN_VALUE / 2;
 
     /** The fraction of the promised capacity that is requested within fair shares. */
-    private double askedWithin;
+    private double promisedDemand;
 
     /** The time of the first request since the last pause of a whole window, in milliseconds. */
     private long countedSinceMillis;
@@ -195,8 +195,8 @@
      *
      * @return The fraction, from 0 to 1.
      */
-    public double askedWithin() {
-        return askedWithin;
+    public double promisedDemand() {
+        return promisedDemand;
     }
 
     /**
@@ -256,6 +256,6 @@
         level = MaxMinFairness.level(demands, capacity);
         observedLevel = MaxMinFairness.level(demands, Math.max(capacity, produced));
         double within = demands.values().stream().mapToDouble(each -> Math.min(each, level)).sum();
-        askedWithin = within / capacity;
+        promisedDemand = within / capacity;
     }
 }
--- a/src/test/java/org/martenwell/share/FairSharesTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesTest.java
@@ -124,12 +124,12 @@
     }
 
     @Test
-    void testAskedWithinIsAFractionOfThePromisedCapacity() {
+    void testPromisedDemandIsAFractionOfThePromisedCapacity() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("flood", 10_000, 0);
         shares.asked("small", 100, WINDOW);
         shares.use("small", 10, 1_000, WINDOW);
-        assertThat(shares.askedWithin()).isCloseTo(0.1, within(1e-9));
+        assertThat(shares.promisedDemand()).isCloseTo(0.1, within(1e-9));
     }
 
     @Test
