--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -78,7 +78,7 @@
      * @param now The current time, in milliseconds.
      * @return The engines with a free slot, enough memory and an acceptable backlog.
      */
-    public List<TargetLoad> withRoom(
+    public List<TargetLoad> withCapacity(
             PromptNeed need,
             ShareTier tier,
             Collection<TargetLoad> loads,
@@ -102,7 +102,7 @@
      *
      * @param need The demand of the request.
      * @param tier The fair share that it falls within.
-     * @param candidates The engines selected by {@link #withRoom}.
+     * @param candidates The engines selected by {@link #withCapacity}.
      * @param cacheLookup The cached parts of the prompt by engine.
      * @param terms The limits of the service's engines.
      * @param rate The prefill rate of the service's engines.
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -163,7 +163,7 @@
             List<TargetLoad> open, List<TargetLoad> allowed, long now) {
         PrefillRate rate = core.targets().rate(service);
         EngineChooser chooser = core.engines();
-        List<TargetLoad> candidates = chooser.withRoom(need, tier, allowed, engine, rate, now);
+        List<TargetLoad> candidates = chooser.withCapacity(need, tier, allowed, engine, rate, now);
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -149,7 +149,8 @@
         PromptNeed small = new PromptNeed("o", PromptChain.EMPTY, 10, 10, 400, 0);
         PromptNeed large = new PromptNeed("o", PromptChain.EMPTY, 30_000, 10, 400, 0);
         assertThat(choose(small, ShareTier.PROMISED)).isPresent();
-        assertThat(chooser.withRoom(large, ShareTier.PROMISED, loads, TERMS, rate, 0)).hasSize(1);
+        assertThat(chooser.withCapacity(large, ShareTier.PROMISED, loads, TERMS, rate, 0))
+                .hasSize(1);
         assertThat(choose(large, ShareTier.PROMISED)).isEmpty();
     }
 
@@ -159,7 +160,7 @@
     }
 
     private Optional<EngineChoice> choose(PromptNeed need, ShareTier tier) {
-        List<TargetLoad> candidates = chooser.withRoom(need, tier, loads, TERMS, rate, 0);
+        List<TargetLoad> candidates = chooser.withCapacity(need, tier, loads, TERMS, rate, 0);
         PromptCacheLookup cacheLookup = PromptCacheLookup.of(need.chain(), loads, draining);
         return chooser.choose(need, tier, candidates, cacheLookup, TERMS, rate, 0, 0);
     }
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -369,7 +369,7 @@
 
         private Optional<EngineChoice> choose(PromptNeed need) {
             List<TargetLoad> candidates =
-                    chooser.withRoom(need, ShareTier.PROMISED, open(), TERMS, rate, (long) now);
+                    chooser.withCapacity(need, ShareTier.PROMISED, open(), TERMS, rate, (long) now);
             if (candidates.isEmpty()) {
                 return Optional.empty();
             }
