--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -197,7 +197,7 @@
     void sent(EngineChoice choice) {
         boolean first = counted.isEmpty();
         if (first) {
-            core.shares().begun(need.organisation(), need.cost(), tier, core.now());
+            core.shares().sent(need.organisation(), need.cost(), tier, core.now());
             counted = Optional.of(new Counted(tier, core.now()));
         }
         double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
@@ -230,7 +230,7 @@
      */
     private void takeBack(Counted request) {
         core.shares()
-                .notBegun(
+                .revertSent(
                         need.organisation(),
                         need.cost(),
                         request.tier(),
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -94,7 +94,7 @@
         for (Map.Entry<String, ShareSums> each : shares.sums().entrySet()) {
             writer.name(each.getKey());
             writer.number(Math.round(each.getValue().asked()));
-            writer.number(Math.round(each.getValue().begun()));
+            writer.number(Math.round(each.getValue().sent()));
             writer.number(Math.round(each.getValue().within()));
         }
     }
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -33,7 +33,7 @@
     private final Map<String, SlidingSum> asked = new HashMap<>();
 
     /** The cost of the requests sent from here, by organisation. */
-    private final Map<String, SlidingSum> begun = new HashMap<>();
+    private final Map<String, SlidingSum> sent = new HashMap<>();
 
     /** The cost of the requests sent from here within promised shares, by organisation. */
     private final Map<String, SlidingSum> within = new HashMap<>();
@@ -108,8 +108,8 @@
      * @param tier The tier in which it was sent.
      * @param now The current time, in milliseconds.
      */
-    public void begun(String organisation, double tokens, ShareTier tier, long now) {
-        begun.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis)).add(tokens, now);
+    public void sent(String organisation, double tokens, ShareTier tier, long now) {
+        sent.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis)).add(tokens, now);
         if (tier == ShareTier.PROMISED) {
             within.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis))
                     .add(tokens, now);
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Reverts {@link #begun} for a request that no target has started to process.
+     * Reverts {@link #sent} for a request that no target has started to process.
      *
      * @param organisation The organisation.
      * @param tokens The cost of the request, in tokens.
@@ -125,9 +125,9 @@
      * @param sentMillis The time at which it was sent, in milliseconds.
      * @param now The current time, in milliseconds.
      */
-    public void notBegun(
+    public void revertSent(
             String organisation, double tokens, ShareTier tier, long sentMillis, long now) {
-        begun.get(organisation).subtract(tokens, sentMillis, now);
+        sent.get(organisation).subtract(tokens, sentMillis, now);
         if (tier == ShareTier.PROMISED) {
             within.get(organisation).subtract(tokens, sentMillis, now);
         }
@@ -155,8 +155,8 @@
         for (String each : asked.keySet()) {
             ShareSums own =
                     new ShareSums(
-                            sum(asked, each, now), sum(begun, each, now), sum(within, each, now));
-            if (own.asked() > 0 || own.begun() > 0) {
+                            sum(asked, each, now), sum(sent, each, now), sum(within, each, now));
+            if (own.asked() > 0 || own.sent() > 0) {
                 sums.put(each, own);
             }
         }
@@ -186,7 +186,7 @@
         ShareSums got = fleetSums.getOrDefault(organisation, ShareSums.NONE);
         // Requests sent beyond the promised share used idle capacity; they don't count against it.
         return new ShareUse(
-                (got.within() + tokens / 2) / level, (got.begun() + tokens / 2) / observedLevel);
+                (got.within() + tokens / 2) / level, (got.sent() + tokens / 2) / observedLevel);
     }
 
     /**
@@ -252,7 +252,7 @@
     private void computeLevels(Map<String, ShareSums> all, double capacity) {
         Map<String, Double> demands = new HashMap<>();
         all.forEach((name, sums) -> demands.put(name, sums.asked()));
-        double produced = all.values().stream().mapToDouble(ShareSums::begun).sum();
+        double produced = all.values().stream().mapToDouble(ShareSums::sent).sum();
         level = MaxMinFairness.level(demands, capacity);
         observedLevel = MaxMinFairness.level(demands, Math.max(capacity, produced));
         double within = demands.values().stream().mapToDouble(each -> Math.min(each, level)).sum();
--- a/src/main/java/org/martenwell/share/ShareSummary.java
+++ b/src/main/java/org/martenwell/share/ShareSummary.java
@@ -36,7 +36,7 @@
                 .sorted(byAsked)
                 .limit(limit)
                 .forEach(each -> organisations.put(each.getKey(), each.getValue()));
-        double produced = sums.values().stream().mapToDouble(ShareSums::begun).sum();
+        double produced = sums.values().stream().mapToDouble(ShareSums::sent).sum();
         return new ShareSummary(level, observedLevel, produced, organisations);
     }
 
@@ -59,7 +59,7 @@
                                         ", %s asked %.0f got %.0f within %.0f",
                                         name,
                                         sums.asked(),
-                                        sums.begun(),
+                                        sums.sent(),
                                         sums.within())));
         return text.toString();
     }
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -63,9 +63,9 @@
     @Test
     void testRequestWithinItsShareOfWhatIsProducedIsServedByIdleEngines() {
         core.shares().asked("high", 100 * PROMISED_TOKENS, core.now());
-        core.shares().begun("high", 20 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
+        core.shares().sent("high", 20 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
         core.shares().asked("low", 100 * PROMISED_TOKENS, core.now());
-        core.shares().begun("low", 4 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
+        core.shares().sent("low", 4 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
         core.reserve().sent(1e9, 1);
         EngineRouting.Decision decision = routing.decide(loads, 0, GatewayCores.route(400));
         assertThat(decision.use().tier()).isEqualTo(ShareTier.OBSERVED);
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -169,13 +169,13 @@
     /** Returns what the organisation got by what this gateway tells its peers. */
     private double begunTokens() {
         ShareSums sums = core.shares().own(core.now()).sums().get("o");
-        return sums == null ? 0 : sums.begun();
+        return sums == null ? 0 : sums.sent();
     }
 
     /** Lets the organisation ask for and get more than the fleet is promised to produce. */
     private void flood() {
         core.shares().asked("o", 10 * PROMISED_TOKENS, core.now());
-        core.shares().begun("o", 10 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
+        core.shares().sent("o", 10 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
     }
 
     /** Fills an engine with requests. */
--- a/src/test/java/org/martenwell/gateway/ReportMakerTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportMakerTest.java
@@ -46,7 +46,7 @@
         GatewayCore peer = GatewayCores.of(loop);
         ReportIntake intake = new ReportIntake(peer);
         core.shares().asked("o", 1_000, core.now());
-        core.shares().begun("o", 1_000, ShareTier.PROMISED, core.now());
+        core.shares().sent("o", 1_000, ShareTier.PROMISED, core.now());
         GatewayReport first = maker.next(true);
         intake.take(first);
         intake.take(maker.next(true));
--- a/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
@@ -106,7 +106,7 @@
         gateway.asked(organisation, tokens, now);
         ShareTier tier = gateway.use(organisation, tokens, CAPACITY, now).tier();
         if (tier == ShareTier.PROMISED) {
-            gateway.begun(organisation, tokens, tier, now);
+            gateway.sent(organisation, tokens, tier, now);
             if (now >= WARM_UP_MILLIS) {
                 sentTokens.merge(organisation, tokens, Double::sum);
             }
--- a/src/test/java/org/martenwell/share/FairSharesTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesTest.java
@@ -32,7 +32,7 @@
     void testNoShareIsExceededWhileAllDemandsAreMet() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 900, 0);
-        shares.begun("a", 900, ShareTier.PROMISED, 0);
+        shares.sent("a", 900, ShareTier.PROMISED, 0);
         assertThat(shares.use("a", 10, 1_000, 3_900).tier()).isEqualTo(ShareTier.PROMISED);
     }
 
@@ -52,7 +52,7 @@
     void testFloodingOrganisationIsBeyondItsShareAndOthersAreNot() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("flood", 10_000, 0);
-        shares.begun("flood", 950, ShareTier.PROMISED, 0);
+        shares.sent("flood", 950, ShareTier.PROMISED, 0);
         shares.asked("small", 100, 0);
         assertThat(shares.use("flood", 10, 1_000, 100).tier()).isNotEqualTo(ShareTier.PROMISED);
         assertThat(shares.use("small", 10, 1_000, 100).tier()).isEqualTo(ShareTier.PROMISED);
@@ -62,9 +62,9 @@
     void testObservedCapacityIsSharedFairly() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("favoured", 10_000, 0);
-        shares.begun("favoured", 3_000, ShareTier.PROMISED, 0);
+        shares.sent("favoured", 3_000, ShareTier.PROMISED, 0);
         shares.asked("refused", 10_000, 0);
-        shares.begun("refused", 600, ShareTier.PROMISED, 0);
+        shares.sent("refused", 600, ShareTier.PROMISED, 0);
         ShareUse refused = shares.use("refused", 10, 1_000, 100);
         assertThat(refused.tier()).isEqualTo(ShareTier.OBSERVED);
         assertThat(shares.use("favoured", 10, 1_000, 100).tier()).isEqualTo(ShareTier.BEYOND);
@@ -75,10 +75,10 @@
     void testUseBeyondTheShareDoesNotCountAgainstIt() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("large", 10_000, 0);
-        shares.begun("large", 3_000, ShareTier.BEYOND, 0);
+        shares.sent("large", 3_000, ShareTier.BEYOND, 0);
         shares.asked("small", 100, 0);
         assertThat(shares.use("large", 10, 1_000, 100).tier()).isEqualTo(ShareTier.PROMISED);
-        shares.begun("large", 900, ShareTier.PROMISED, 100);
+        shares.sent("large", 900, ShareTier.PROMISED, 100);
         assertThat(shares.use("large", 10, 1_000, 200).tier()).isNotEqualTo(ShareTier.PROMISED);
     }
 
@@ -98,7 +98,7 @@
     void testShareDirectlyAfterAStartIsLimitedToTheCountedTime() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("flood", 900, 0);
-        shares.begun("flood", 400, ShareTier.PROMISED, 0);
+        shares.sent("flood", 400, ShareTier.PROMISED, 0);
         shares.asked("small", 100, 0);
         assertThat(shares.use("flood", 10, 1_000, 300).tier()).isNotEqualTo(ShareTier.PROMISED);
         assertThat(shares.use("small", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
@@ -108,7 +108,7 @@
     void testStartedGatewayUsesTheCountedTimeOfItsPeers() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 400, 0);
-        shares.begun("a", 400, ShareTier.PROMISED, 0);
+        shares.sent("a", 400, ShareTier.PROMISED, 0);
         shares.peer("p", counts(Map.of("b", new ShareSums(500, 500, 500))), 0);
         assertThat(shares.use("a", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
     }
@@ -136,11 +136,11 @@
     void testUnstartedRequestIsSubtractedFromTheBucketOfItsSendTime() {
         FairShares shares = new FairShares(WINDOW);
         shares.asked("a", 900, 0);
-        shares.begun("a", 500, ShareTier.PROMISED, 0);
-        shares.begun("a", 200, ShareTier.BEYOND, 1_000);
-        shares.notBegun("a", 500, ShareTier.PROMISED, 0, 1_500);
+        shares.sent("a", 500, ShareTier.PROMISED, 0);
+        shares.sent("a", 200, ShareTier.BEYOND, 1_000);
+        shares.revertSent("a", 500, ShareTier.PROMISED, 0, 1_500);
         assertThat(shares.own(1_500).sums().get("a")).isEqualTo(new ShareSums(900, 200, 0));
-        shares.notBegun("a", 200, ShareTier.BEYOND, 1_000, 9_000);
+        shares.revertSent("a", 200, ShareTier.BEYOND, 1_000, 9_000);
         assertThat(shares.own(9_000).sums()).isEmpty();
     }
 
@@ -149,7 +149,7 @@
         FairShares shares = new FairShares(WINDOW);
         shares.asked("little", 1, WINDOW);
         shares.asked("much", 50, WINDOW);
-        shares.begun("much", 20, ShareTier.BEYOND, WINDOW);
+        shares.sent("much", 20, ShareTier.BEYOND, WINDOW);
         shares.use("much", 10, 30, WINDOW);
         assertThat(shares.summary(1))
                 .hasToString("level 3, observed 19, produced 20, much asked 50 got 20 within 0");
