--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -95,7 +95,7 @@
             writer.name(each.getKey());
             writer.number(Math.round(each.getValue().asked()));
             writer.number(Math.round(each.getValue().sent()));
-            writer.number(Math.round(each.getValue().within()));
+            writer.number(Math.round(each.getValue().withinShare()));
         }
     }
 
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -36,7 +36,7 @@
     private final Map<String, SlidingSum> sent = new HashMap<>();
 
     /** The cost of the requests sent from here within promised shares, by organisation. */
-    private final Map<String, SlidingSum> within = new HashMap<>();
+    private final Map<String, SlidingSum> withinShare = new HashMap<>();
 
     /** The last report of each peer, by name. */
     private final Map<String, PeerCounts> peers = new HashMap<>();
@@ -111,7 +111,8 @@
     public void sent(String organisation, double tokens, ShareTier tier, long now) {
         sent.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis)).add(tokens, now);
         if (tier == ShareTier.PROMISED) {
-            within.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis))
+            withinShare
+                    .computeIfAbsent(organisation, name -> new SlidingSum(windowMillis))
                     .add(tokens, now);
         }
     }
@@ -129,7 +130,7 @@
             String organisation, double tokens, ShareTier tier, long sentMillis, long now) {
         sent.get(organisation).subtract(tokens, sentMillis, now);
         if (tier == ShareTier.PROMISED) {
-            within.get(organisation).subtract(tokens, sentMillis, now);
+            withinShare.get(organisation).subtract(tokens, sentMillis, now);
         }
     }
 
@@ -155,7 +156,9 @@
         for (String each : asked.keySet()) {
             ShareSums own =
                     new ShareSums(
-                            sum(asked, each, now), sum(sent, each, now), sum(within, each, now));
+                            sum(asked, each, now),
+                            sum(sent, each, now),
+                            sum(withinShare, each, now));
             if (own.asked() > 0 || own.sent() > 0) {
                 sums.put(each, own);
             }
@@ -186,7 +189,8 @@
         ShareSums got = fleetSums.getOrDefault(organisation, ShareSums.NONE);
         // Requests sent beyond the promised share used idle capacity; they don't count against it.
         return new ShareUse(
-                (got.within() + tokens / 2) / level, (got.sent() + tokens / 2) / observedLevel);
+                (got.withinShare() + tokens / 2) / level,
+                (got.sent() + tokens / 2) / observedLevel);
     }
 
     /**
@@ -255,7 +259,8 @@
         double produced = all.values().stream().mapToDouble(ShareSums::sent).sum();
         level = MaxMinFairness.level(demands, capacity);
         observedLevel = MaxMinFairness.level(demands, Math.max(capacity, produced));
-        double within = demands.values().stream().mapToDouble(each -> Math.min(each, level)).sum();
-        promisedDemand = within / capacity;
+        double withinShare =
+                demands.values().stream().mapToDouble(each -> Math.min(each, level)).sum();
+        promisedDemand = withinShare / capacity;
     }
 }
--- a/src/main/java/org/martenwell/share/ShareSums.java
+++ b/src/main/java/org/martenwell/share/ShareSums.java
@@ -5,9 +5,9 @@
  *
  * @param asked The cost of the received requests, in tokens.
  * @param sent The cost of the requests sent to a target, in tokens.
- * @param within The cost of the requests sent within the promised share, in tokens.
+ * @param withinShare The cost of the requests sent within the promised share, in tokens.
  */
-public record ShareSums(double asked, double sent, double within) {
+public record ShareSums(double asked, double sent, double withinShare) {
 
     /** The sums of an organisation without requests. */
     public static final ShareSums NONE = new ShareSums(0, 0, 0);
@@ -19,6 +19,7 @@
      * @return The total of both.
      */
     public ShareSums plus(ShareSums other) {
-        return new ShareSums(asked + other.asked, sent + other.sent, within + other.within);
+        return new ShareSums(
+                asked + other.asked, sent + other.sent, withinShare + other.withinShare);
     }
 }
