--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -51,7 +51,7 @@
      * @return {@code true} if the target was not paused before.
      */
     public boolean rest(long millis, long now) {
-        boolean started = !rests(now);
+        boolean started = !isPaused(now);
         long until = now + Math.min(millis, MAX_PAUSE_MILLIS);
         pausedUntilMillis = Math.max(pausedUntilMillis, until);
         return started;
@@ -64,7 +64,7 @@
      * @return {@code true} if it is neither draining nor paused.
      */
     public boolean open(long now) {
-        return !leaves() && !rests(now);
+        return !leaves() && !isPaused(now);
     }
 
     /** {@return {@code true} if the target is known to be draining} */
@@ -87,7 +87,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if it is.
      */
-    public boolean rests(long now) {
+    public boolean isPaused(long now) {
         return now < pausedUntilMillis;
     }
 
@@ -98,6 +98,6 @@
      * @return The time in milliseconds, 0 if the target is not paused.
      */
     public long restMillis(long now) {
-        return rests(now) ? pausedUntilMillis - now : 0;
+        return isPaused(now) ? pausedUntilMillis - now : 0;
     }
 }
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -248,7 +248,7 @@
                 .map(KnownTarget::load)
                 .filter(each -> each.target().service().equals(service))
                 .map(TargetLoad::availability)
-                .filter(each -> each.rests(now) && !each.leaves())
+                .filter(each -> each.isPaused(now) && !each.leaves())
                 .mapToLong(each -> each.restMillis(now))
                 .min();
     }
--- a/src/test/java/org/martenwell/balance/AvailabilityTest.java
+++ b/src/test/java/org/martenwell/balance/AvailabilityTest.java
@@ -27,8 +27,8 @@
     @Test
     void testPauseEndsAfterItsTime() {
         assertThat(availability.rest(3_000, 10)).isTrue();
-        assertThat(availability.rests(3_009)).isTrue();
-        assertThat(availability.rests(3_010)).isFalse();
+        assertThat(availability.isPaused(3_009)).isTrue();
+        assertThat(availability.isPaused(3_010)).isFalse();
     }
 
     @Test
