--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -97,7 +97,7 @@
      * @param now The current time, in milliseconds.
      * @return The time in milliseconds, 0 if the target is not paused.
      */
-    public long restMillis(long now) {
+    public long pauseMillis(long now) {
         return isPaused(now) ? pausedUntilMillis - now : 0;
     }
 }
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -90,7 +90,7 @@
         if (closed) {
             return;
         }
-        long rest = target.load().availability().restMillis(core.now());
+        long rest = target.load().availability().pauseMillis(core.now());
         if (rest > 0) {
             callLater(rest);
             return;
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -79,7 +79,7 @@
      * @param target The engine.
      */
     private void ask(KnownTarget target) {
-        long rest = target.load().availability().restMillis(core.now());
+        long rest = target.load().availability().pauseMillis(core.now());
         if (rest > 0) {
             core.reactor().delayBackground(rest, () -> ask(target));
             return;
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -249,7 +249,7 @@
                 .filter(each -> each.target().service().equals(service))
                 .map(TargetLoad::availability)
                 .filter(each -> each.isPaused(now) && !each.leaves())
-                .mapToLong(each -> each.restMillis(now))
+                .mapToLong(each -> each.pauseMillis(now))
                 .min();
     }
 
--- a/src/test/java/org/martenwell/balance/AvailabilityTest.java
+++ b/src/test/java/org/martenwell/balance/AvailabilityTest.java
@@ -21,7 +21,7 @@
     @Test
     void testTargetWithoutAnnouncementsAcceptsRequests() {
         assertThat(availability.open(0)).isTrue();
-        assertThat(availability.restMillis(0)).isZero();
+        assertThat(availability.pauseMillis(0)).isZero();
     }
 
     @Test
@@ -34,7 +34,7 @@
     @Test
     void testPauseIsLimited() {
         availability.rest(Long.MAX_VALUE, 10);
-        assertThat(availability.restMillis(10)).isEqualTo(MAX_PAUSE_MILLIS);
+        assertThat(availability.pauseMillis(10)).isEqualTo(MAX_PAUSE_MILLIS);
     }
 
     @Test
@@ -63,7 +63,7 @@
                 tested.rest(millis, now);
             }
             assertThat(tested.open(now)).isEqualTo(!draining && now >= latestEnd);
-            assertThat(tested.restMillis(now)).isEqualTo(Math.max(0, latestEnd - now));
+            assertThat(tested.pauseMillis(now)).isEqualTo(Math.max(0, latestEnd - now));
         }
     }
 
