--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -50,7 +50,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if the target was not paused before.
      */
-    public boolean rest(long millis, long now) {
+    public boolean pause(long millis, long now) {
         boolean started = !isPaused(now);
         long until = now + Math.min(millis, MAX_PAUSE_MILLIS);
         pausedUntilMillis = Math.max(pausedUntilMillis, until);
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetNotices.java
@@ -65,7 +65,7 @@
         if (notice.leaving() && availability.leave(NoticeSource.ANSWER, now)) {
             leaves(target.target().life(), NoticeSource.ANSWER);
         }
-        if (notice.restMillis() > 0 && availability.rest(notice.restMillis(), now)) {
+        if (notice.restMillis() > 0 && availability.pause(notice.restMillis(), now)) {
             log.resting(target.target().life(), notice.restMillis());
         }
     }
--- a/src/test/java/org/martenwell/balance/AvailabilityTest.java
+++ b/src/test/java/org/martenwell/balance/AvailabilityTest.java
@@ -26,14 +26,14 @@
 
     @Test
     void testPauseEndsAfterItsTime() {
-        assertThat(availability.rest(3_000, 10)).isTrue();
+        assertThat(availability.pause(3_000, 10)).isTrue();
         assertThat(availability.isPaused(3_009)).isTrue();
         assertThat(availability.isPaused(3_010)).isFalse();
     }
 
     @Test
     void testPauseIsLimited() {
-        availability.rest(Long.MAX_VALUE, 10);
+        availability.pause(Long.MAX_VALUE, 10);
         assertThat(availability.pauseMillis(10)).isEqualTo(MAX_PAUSE_MILLIS);
     }
 
@@ -60,7 +60,7 @@
             } else if (step % 3 == 0) {
                 long millis = step * 3L;
                 latestEnd = Math.max(latestEnd, now + millis);
-                tested.rest(millis, now);
+                tested.pause(millis, now);
             }
             assertThat(tested.open(now)).isEqualTo(!draining && now >= latestEnd);
             assertThat(tested.pauseMillis(now)).isEqualTo(Math.max(0, latestEnd - now));
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -110,7 +110,7 @@
             left.add(life);
         } else {
             long millis = random.nextInt(4_000);
-            everKnown.get(life).availability().rest(millis, now);
+            everKnown.get(life).availability().pause(millis, now);
             restUntil.merge(life, now + millis, Math::max);
         }
     }
