--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -63,7 +63,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if it is neither draining nor paused.
      */
-    public boolean open(long now) {
+    public boolean isAvailable(long now) {
         return !leaves() && !isPaused(now);
     }
 
--- a/src/main/java/org/martenwell/balance/TargetHealth.java
+++ b/src/main/java/org/martenwell/balance/TargetHealth.java
@@ -90,7 +90,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} unless it is suspended.
      */
-    public boolean open(long now) {
+    public boolean isAvailable(long now) {
         return now >= suspendedUntil;
     }
 
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -199,7 +199,7 @@
         connection = opened;
         if (over) {
             opened.cancel();
-        } else if (!target.load().availability().open(dispatch.now())) {
+        } else if (!target.load().availability().isAvailable(dispatch.now())) {
             // Opening a connection takes up to 400 ms, in which the target may have said that it
             // leaves or rests.
             cancel();
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -226,9 +226,9 @@
         for (KnownTarget each : targets.values()) {
             DirectoryTarget target = each.load().target();
             if (target.service().equals(service)
-                    && each.load().availability().open(now)
+                    && each.load().availability().isAvailable(now)
                     && !tried.contains(target.id())
-                    && each.load().health().open(now)) {
+                    && each.load().health().isAvailable(now)) {
                 open.add(each.load());
             }
         }
--- a/src/test/java/org/martenwell/balance/AvailabilityTest.java
+++ b/src/test/java/org/martenwell/balance/AvailabilityTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void testTargetWithoutAnnouncementsAcceptsRequests() {
-        assertThat(availability.open(0)).isTrue();
+        assertThat(availability.isAvailable(0)).isTrue();
         assertThat(availability.pauseMillis(0)).isZero();
     }
 
@@ -62,7 +62,7 @@
                 latestEnd = Math.max(latestEnd, now + millis);
                 tested.pause(millis, now);
             }
-            assertThat(tested.open(now)).isEqualTo(!draining && now >= latestEnd);
+            assertThat(tested.isAvailable(now)).isEqualTo(!draining && now >= latestEnd);
             assertThat(tested.pauseMillis(now)).isEqualTo(Math.max(0, latestEnd - now));
         }
     }
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -364,7 +364,7 @@
         }
 
         private List<TargetLoad> open() {
-            return loads.stream().filter(each -> each.health().open((long) now)).toList();
+            return loads.stream().filter(each -> each.health().isAvailable((long) now)).toList();
         }
 
         private Optional<EngineChoice> choose(PromptNeed need) {
--- a/src/test/java/org/martenwell/balance/TargetHealthTest.java
+++ b/src/test/java/org/martenwell/balance/TargetHealthTest.java
@@ -11,26 +11,26 @@
         TargetHealth health = new TargetHealth();
         health.failed(0);
         health.failed(0);
-        assertThat(health.open(0)).isTrue();
+        assertThat(health.isAvailable(0)).isTrue();
         health.failed(0);
-        assertThat(health.open(399)).isFalse();
-        assertThat(health.open(400)).isTrue();
+        assertThat(health.isAvailable(399)).isFalse();
+        assertThat(health.isAvailable(400)).isTrue();
         health.failed(400);
-        assertThat(health.open(1_199)).isFalse();
-        assertThat(health.open(1_200)).isTrue();
+        assertThat(health.isAvailable(1_199)).isFalse();
+        assertThat(health.isAvailable(1_200)).isTrue();
     }
 
     @Test
     void testFailureToConnectSuspendsImmediately() {
         TargetHealth health = new TargetHealth();
         health.connectFailed(0);
-        assertThat(health.open(399)).isFalse();
-        assertThat(health.open(400)).isTrue();
+        assertThat(health.isAvailable(399)).isFalse();
+        assertThat(health.isAvailable(400)).isTrue();
         health.connectFailed(400);
-        assertThat(health.open(1_199)).isFalse();
+        assertThat(health.isAvailable(1_199)).isFalse();
         health.succeeded(1_200);
         health.failed(1_200);
-        assertThat(health.open(1_200)).isTrue();
+        assertThat(health.isAvailable(1_200)).isTrue();
     }
 
     @Test
@@ -39,9 +39,9 @@
         for (int count = 0; count < 50; count++) {
             health.failed(0);
         }
-        assertThat(health.open(3_199)).isFalse();
+        assertThat(health.isAvailable(3_199)).isFalse();
         health.succeeded(1);
-        assertThat(health.open(1)).isTrue();
+        assertThat(health.isAvailable(1)).isTrue();
     }
 
     @Test
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -60,7 +60,7 @@
         tell(target(6, false));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().memory().isEmpty()).isTrue();
-        assertThat(load().health().open(1)).isTrue();
+        assertThat(load().health().isAvailable(1)).isTrue();
     }
 
     @Test
