--- a/src/main/java/org/martenwell/balance/TargetHealth.java
+++ b/src/main/java/org/martenwell/balance/TargetHealth.java
@@ -80,7 +80,7 @@
      * @param now The current time, in milliseconds.
      * @param millis The length of the suspension, in milliseconds.
      */
-    public void close(long now, long millis) {
+    public void suspend(long now, long millis) {
         suspendedUntil = Math.max(suspendedUntil, now + millis);
     }
 
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -457,7 +457,7 @@
         if (other) {
             core.harmful().targetEnded(from.target());
         }
-        from.target().load().health().close(core.now(), other ? OTHER_MILLIS : FULL_MILLIS);
+        from.target().load().health().suspend(core.now(), other ? OTHER_MILLIS : FULL_MILLIS);
         if (mayRetry()) {
             trySend();
         } else {
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -247,7 +247,7 @@
         }
 
         private void retry(TargetLoad full) {
-            full.health().close((long) now, 150);
+            full.health().suspend((long) now, 150);
             if (retried) {
                 refused++;
                 return;
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -56,7 +56,7 @@
     void testTargetThatStartedAgainHasNoRequestsAndKeepsNothing() {
         load().sent(new RunningRequest(100, 100, 1, 0));
         load().memory().keep(PART, 100, 100_000);
-        load().health().close(1, 60_000);
+        load().health().suspend(1, 60_000);
         tell(target(6, false));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().memory().isEmpty()).isTrue();
