--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -19,7 +19,7 @@
     private Optional<NoticeSource> drainSource = Optional.empty();
 
     /** The time at which draining became known, in milliseconds; 0 if it is not known to drain. */
-    private long leavingSinceMillis;
+    private long drainingSinceMillis;
 
     /** The end of the latest pause, in milliseconds. */
     private long pausedUntilMillis = Long.MIN_VALUE;
@@ -34,12 +34,12 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if it was not known before.
      */
-    public boolean leave(NoticeSource source, long now) {
+    public boolean markDraining(NoticeSource source, long now) {
         if (drainSource.isPresent()) {
             return false;
         }
         drainSource = Optional.of(source);
-        leavingSinceMillis = now;
+        drainingSinceMillis = now;
         return true;
     }
 
@@ -64,21 +64,21 @@
      * @return {@code true} if it is neither draining nor paused.
      */
     public boolean isAvailable(long now) {
-        return !leaves() && !isPaused(now);
+        return !isDraining() && !isPaused(now);
     }
 
     /** {@return {@code true} if the target is known to be draining} */
-    public boolean leaves() {
+    public boolean isDraining() {
         return drainSource.isPresent();
     }
 
     /**
      * Returns the time at which draining became known.
      *
-     * @return The time in milliseconds; meaningful only if {@link #leaves}.
+     * @return The time in milliseconds; meaningful only if {@link #isDraining}.
      */
-    public long leavingSinceMillis() {
-        return leavingSinceMillis;
+    public long drainingSinceMillis() {
+        return drainingSinceMillis;
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -150,7 +150,7 @@
      * @param verdict Called once it is known whether the target ended, or has taken too long.
      */
     void broken(KnownTarget target, RequestIdentity identity, Runnable verdict) {
-        if (target.load().availability().leaves() || target.connections().closed()) {
+        if (target.load().availability().isDraining() || target.connections().closed()) {
             verdict.run();
         } else {
             ends.broken(target, identity.suspect(), verdict);
--- a/src/main/java/org/martenwell/gateway/TargetNotices.java
+++ b/src/main/java/org/martenwell/gateway/TargetNotices.java
@@ -62,7 +62,7 @@
         AnswerNotice notice = dialect.notice(head, clock.millis());
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
-        if (notice.leaving() && availability.leave(NoticeSource.ANSWER, now)) {
+        if (notice.leaving() && availability.markDraining(NoticeSource.ANSWER, now)) {
             leaves(target.target().life(), NoticeSource.ANSWER);
         }
         if (notice.restMillis() > 0 && availability.pause(notice.restMillis(), now)) {
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -124,7 +124,7 @@
      * @param now The present time, in milliseconds.
      */
     private void leaves(String life, NoticeSource source, long now) {
-        if (availability(life).leave(source, now)) {
+        if (availability(life).markDraining(source, now)) {
             listener.leaves(life, source);
         }
     }
@@ -149,7 +149,7 @@
     private void forget(String id) {
         KnownTarget gone = targets.remove(id);
         lives.remove(gone.load().target().life());
-        if (!gone.load().availability().leaves()) {
+        if (!gone.load().availability().isDraining()) {
             listener.ended(gone);
         }
         gone.connections().close();
@@ -190,8 +190,8 @@
         for (KnownTarget each : targets.values()) {
             Availability availability = each.load().availability();
             DirectoryTarget target = each.load().target();
-            boolean untold = availability.leaves() && !target.leaving();
-            if (untold && now - availability.leavingSinceMillis() >= CONFIRMED_MILLIS) {
+            boolean untold = availability.isDraining() && !target.leaving();
+            if (untold && now - availability.drainingSinceMillis() >= CONFIRMED_MILLIS) {
                 misses |= askedAgain.add(target.life());
             }
         }
@@ -206,7 +206,7 @@
     List<String> leaving() {
         List<String> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
-            if (each.load().availability().leaves()) {
+            if (each.load().availability().isDraining()) {
                 found.add(each.load().target().life());
             }
         }
@@ -248,7 +248,7 @@
                 .map(KnownTarget::load)
                 .filter(each -> each.target().service().equals(service))
                 .map(TargetLoad::availability)
-                .filter(each -> each.isPaused(now) && !each.leaves())
+                .filter(each -> each.isPaused(now) && !each.isDraining())
                 .mapToLong(each -> each.pauseMillis(now))
                 .min();
     }
@@ -262,7 +262,7 @@
     List<TargetLoad> leaving(String service) {
         List<TargetLoad> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
-            boolean leaves = each.load().availability().leaves();
+            boolean leaves = each.load().availability().isDraining();
             if (leaves && each.load().target().service().equals(service)) {
                 found.add(each.load());
             }
--- a/src/test/java/org/martenwell/balance/AvailabilityTest.java
+++ b/src/test/java/org/martenwell/balance/AvailabilityTest.java
@@ -39,9 +39,9 @@
 
     @Test
     void testOnlyTheFirstAnnouncementOfDrainingCounts() {
-        assertThat(availability.leave(NoticeSource.PEER, 5)).isTrue();
-        assertThat(availability.leave(NoticeSource.ANSWER, 9)).isFalse();
-        assertThat(availability.leavingSinceMillis()).isEqualTo(5);
+        assertThat(availability.markDraining(NoticeSource.PEER, 5)).isTrue();
+        assertThat(availability.markDraining(NoticeSource.ANSWER, 9)).isFalse();
+        assertThat(availability.drainingSinceMillis()).isEqualTo(5);
     }
 
     /** Applies announcements in any order, at any time, and compares the state with a model. */
@@ -56,7 +56,7 @@
             now += step % 7 * 100L;
             if (step % 10 == 0) {
                 draining = true;
-                tested.leave(SOURCES.get(step % SOURCES.size()), now);
+                tested.markDraining(SOURCES.get(step % SOURCES.size()), now);
             } else if (step % 3 == 0) {
                 long millis = step * 3L;
                 latestEnd = Math.max(latestEnd, now + millis);
@@ -70,20 +70,20 @@
     @Test
     void testAvailabilityIsKeptAmongOtherIncarnations() {
         Availabilities all = new Availabilities();
-        all.of("one").leave(NoticeSource.ANSWER, 0);
+        all.of("one").markDraining(NoticeSource.ANSWER, 0);
         for (int other = 0; other < 2_000; other++) {
             all.of("other-" + other);
         }
-        assertThat(all.of("one").leaves()).isTrue();
+        assertThat(all.of("one").isDraining()).isTrue();
     }
 
     @Test
     void testNumberOfIncarnationsIsLimited() {
         Availabilities all = new Availabilities();
-        all.of("one").leave(NoticeSource.ANSWER, 0);
+        all.of("one").markDraining(NoticeSource.ANSWER, 0);
         for (int other = 0; other < 3_000; other++) {
             all.of("other-" + other);
         }
-        assertThat(all.of("one").leaves()).isFalse();
+        assertThat(all.of("one").isDraining()).isFalse();
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -106,7 +106,7 @@
         List<String> lives = everKnown.keySet().stream().sorted().toList();
         String life = lives.get(random.nextInt(lives.size()));
         if (random.nextInt(4) == 0) {
-            everKnown.get(life).availability().leave(NoticeSource.ANSWER, now);
+            everKnown.get(life).availability().markDraining(NoticeSource.ANSWER, now);
             left.add(life);
         } else {
             long millis = random.nextInt(4_000);
