--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -70,7 +70,7 @@
      * Selects the engines with capacity for a request. It is a cheap filter that doesn't look at
      * prompt caches, so that requests can repeat it while they wait for capacity.
      *
-     * @param need The demand of the request.
+     * @param demand The demand of the request.
      * @param tier The fair share that it falls within.
      * @param loads The engines.
      * @param terms The limits of the service's engines.
@@ -79,17 +79,17 @@
      * @return The engines with a free slot, enough memory and an acceptable backlog.
      */
     public List<TargetLoad> withCapacity(
-            PromptNeed need,
+            EngineDemand demand,
             ShareTier tier,
             Collection<TargetLoad> loads,
             EngineTerms terms,
             PrefillRate rate,
             long now) {
-        double maxBacklogMillis = allowedBacklogMillis(need, tier, 0, rate, now);
+        double maxBacklogMillis = allowedBacklogMillis(demand, tier, 0, rate, now);
         List<TargetLoad> found = new ArrayList<>();
         for (TargetLoad each : loads) {
             LoadSums sums = each.all(now);
-            if (hasCapacity(each, sums, need, tier, terms)
+            if (hasCapacity(each, sums, demand, tier, terms)
                     && rate.millis(sums.prefillTokens()) <= maxBacklogMillis) {
                 found.add(each);
             }
@@ -100,7 +100,7 @@
     /**
      * Chooses the engine with the lowest cost.
      *
-     * @param need The demand of the request.
+     * @param demand The demand of the request.
      * @param tier The fair share that it falls within.
      * @param candidates The engines selected by {@link #withCapacity}.
      * @param cacheLookup The cached parts of the prompt by engine.
@@ -112,7 +112,7 @@
      * @return The choice, or empty if no engine can produce the first event in time.
      */
     public Optional<EngineChoice> choose(
-            PromptNeed need,
+            EngineDemand demand,
             ShareTier tier,
             Collection<TargetLoad> candidates,
             PromptCacheLookup cacheLookup,
@@ -120,7 +120,7 @@
             PrefillRate rate,
             double unreportedMillis,
             long now) {
-        double affinity = affinityMillis(need, cacheLookup, rate);
+        double affinity = affinityMillis(demand, cacheLookup, rate);
         EngineChoice best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         for (TargetLoad each : candidates) {
@@ -129,9 +129,9 @@
             Optional<TargetLoad> source =
                     terms.copies() ? cacheLookup.source(each) : Optional.empty();
             long cached = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(each);
-            long prefill = need.promptTokens() - cached;
+            long prefill = demand.promptTokens() - cached;
             double prefillMillis = rate.millis(prefill) + (source.isPresent() ? COPY_MILLIS : 0);
-            if (backlog > allowedBacklogMillis(need, tier, prefillMillis, rate, now)) {
+            if (backlog > allowedBacklogMillis(demand, tier, prefillMillis, rate, now)) {
                 continue;
             }
             double cost =
@@ -172,14 +172,14 @@
      * Returns the reduction of the cost of the engine that the hash prefers for a prompt. Other
      * gateways prefer the same engine, so parts that are cached nowhere yet need prefill only once.
      *
-     * @param need The demand of the request.
+     * @param demand The demand of the request.
      * @param cacheLookup The cached parts of the prompt by engine.
      * @param rate The prefill rate of the engines.
      * @return The reduction in milliseconds.
      */
     private static double affinityMillis(
-            PromptNeed need, PromptCacheLookup cacheLookup, PrefillRate rate) {
-        long uncachedTokens = Math.max(0, need.chain().totalTokens() - cacheLookup.most());
+            EngineDemand demand, PromptCacheLookup cacheLookup, PrefillRate rate) {
+        long uncachedTokens = Math.max(0, demand.chain().totalTokens() - cacheLookup.most());
         return Math.max(MIN_AFFINITY_MILLIS, rate.millis(uncachedTokens));
     }
 
@@ -189,15 +189,19 @@
      *
      * @param load The engine.
      * @param sums The load of all gateways on the engine.
-     * @param need The demand of the request.
+     * @param demand The demand of the request.
      * @param tier The fair share that it falls within.
      * @param terms The limits of the service's engines.
      * @return {@code true} if it has both.
      */
     private static boolean hasCapacity(
-            TargetLoad load, LoadSums sums, PromptNeed need, ShareTier tier, EngineTerms terms) {
+            TargetLoad load,
+            LoadSums sums,
+            EngineDemand demand,
+            ShareTier tier,
+            EngineTerms terms) {
         double fillFraction = tier.fillFraction();
-        long memory = sums.memoryTokens() + need.ownTokens() + need.answerTokens();
+        long memory = sums.memoryTokens() + demand.ownTokens() + demand.answerTokens();
         return sums.requests() < fillFraction * slots(load, terms)
                 && (sums.requests() == 0
                         || memory < fillFraction * MEMORY_FRACTION * terms.memoryTokens());
@@ -206,7 +210,7 @@
     /**
      * Returns the largest backlog of an engine that is acceptable for a request.
      *
-     * @param need The demand of the request.
+     * @param demand The demand of the request.
      * @param tier The fair share that it falls within.
      * @param prefillMillis The time for its own prefill, in milliseconds.
      * @param rate The prefill rate of the engines.
@@ -214,14 +218,14 @@
      * @return The backlog in milliseconds.
      */
     private static double allowedBacklogMillis(
-            PromptNeed need, ShareTier tier, double prefillMillis, PrefillRate rate, long now) {
-        double minBacklogMillis = tier.waitFraction() * need.objectiveMillis();
+            EngineDemand demand, ShareTier tier, double prefillMillis, PrefillRate rate, long now) {
+        double minBacklogMillis = tier.waitFraction() * demand.objectiveMillis();
         if (tier == ShareTier.BEYOND) {
             return minBacklogMillis;
         }
         double remainingMillis =
-                OBJECTIVE_FRACTION * need.objectiveMillis()
-                        - (now - need.arrivedMillis())
+                OBJECTIVE_FRACTION * demand.objectiveMillis()
+                        - (now - demand.arrivedMillis())
                         - rate.baseMillis()
                         - prefillMillis;
         return Math.max(remainingMillis, minBacklogMillis);
--- a/src/main/java/org/martenwell/balance/PromptNeed.java
+++ b/src/main/java/org/martenwell/balance/EngineDemand.java
@@ -13,7 +13,7 @@
  *     arrival.
  * @param arrivedMillis The time of arrival, in milliseconds.
  */
-public record PromptNeed(
+public record EngineDemand(
         String organisation,
         PromptChain chain,
         long promptTokens,
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import org.martenwell.balance.EngineChoice;
 import org.martenwell.balance.EngineChooser;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.PrefillRate;
 import org.martenwell.balance.PromptCacheLookup;
-import org.martenwell.balance.PromptNeed;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
@@ -26,7 +26,7 @@
     private final GatewayCore core;
 
     /** What the request needs. */
-    private final PromptNeed need;
+    private final EngineDemand demand;
 
     /** What engines hold. */
     private final EngineTerms engine;
@@ -64,23 +64,23 @@
      * Creates the routing of a request.
      *
      * @param core What all requests share.
-     * @param need What the request needs.
+     * @param demand What the request needs.
      * @param engine What engines hold.
      * @param service The engines' service.
      */
-    EngineRouting(GatewayCore core, PromptNeed need, EngineTerms engine, String service) {
+    EngineRouting(GatewayCore core, EngineDemand demand, EngineTerms engine, String service) {
         this.core = core;
-        this.need = need;
+        this.demand = demand;
         this.engine = engine;
         this.service = service;
     }
 
     /** Notes that the request asks for its tokens and shares parts of its prompt. */
     void asked() {
-        for (int index = 0; index < need.chain().length(); index++) {
-            core.sharedKeys().seen(need.chain().key(index));
+        for (int index = 0; index < demand.chain().length(); index++) {
+            core.sharedKeys().seen(demand.chain().key(index));
         }
-        core.shares().asked(need.organisation(), need.cost(), core.now());
+        core.shares().asked(demand.organisation(), demand.cost(), core.now());
     }
 
     /**
@@ -89,7 +89,8 @@
      * @return What it has used.
      */
     ShareUse use() {
-        return core.shares().use(need.organisation(), need.cost(), core.windowTokens(), core.now());
+        return core.shares()
+                .use(demand.organisation(), demand.cost(), core.windowTokens(), core.now());
     }
 
     /**
@@ -116,7 +117,7 @@
         if (tier == ShareTier.BEYOND || allowed.isEmpty()) {
             return new Decision(choice, Optional.of(ErrorKind.RATE_EXCEEDED), use);
         }
-        if (now - need.arrivedMillis() >= WAIT_SHARE * route.objectiveMillis()) {
+        if (now - demand.arrivedMillis() >= WAIT_SHARE * route.objectiveMillis()) {
             return new Decision(choice, Optional.of(ErrorKind.WAIT_TOO_LONG), use);
         }
         return new Decision(choice, Optional.empty(), use);
@@ -163,15 +164,16 @@
             List<TargetLoad> open, List<TargetLoad> allowed, long now) {
         PrefillRate rate = core.targets().rate(service);
         EngineChooser chooser = core.engines();
-        List<TargetLoad> candidates = chooser.withCapacity(need, tier, allowed, engine, rate, now);
+        List<TargetLoad> candidates =
+                chooser.withCapacity(demand, tier, allowed, engine, rate, now);
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
         PromptCacheLookup cacheLookup =
-                PromptCacheLookup.of(need.chain(), allowed, handingOver(open, allowed));
+                PromptCacheLookup.of(demand.chain(), allowed, handingOver(open, allowed));
         double unreportedWork = core.unreportedWork().perTarget(open.size(), now);
         return chooser.choose(
-                need, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
+                demand, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
     }
 
     /**
@@ -197,16 +199,16 @@
     void sent(EngineChoice choice) {
         boolean first = counted.isEmpty();
         if (first) {
-            core.shares().sent(need.organisation(), need.cost(), tier, core.now());
+            core.shares().sent(demand.organisation(), demand.cost(), tier, core.now());
             counted = Optional.of(new Counted(tier, core.now()));
         }
         double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
         core.unreportedWork()
                 .sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
-            core.reserve().sent(promptMillis, need.cost());
+            core.reserve().sent(promptMillis, demand.cost());
         }
-        placed = Optional.of(PlacedPrompt.at(core, choice.load(), need.chain()));
+        placed = Optional.of(PlacedPrompt.at(core, choice.load(), demand.chain()));
     }
 
     /**
@@ -231,8 +233,8 @@
     private void takeBack(Counted request) {
         core.shares()
                 .revertSent(
-                        need.organisation(),
-                        need.cost(),
+                        demand.organisation(),
+                        demand.cost(),
                         request.tier(),
                         request.sentMillis(),
                         core.now());
@@ -257,7 +259,7 @@
     RunningRequest running(EngineChoice choice) {
         return new RunningRequest(
                 choice.prefillTokens(),
-                need.ownTokens() + need.answerTokens(),
+                demand.ownTokens() + demand.answerTokens(),
                 core.now(),
                 choice.backlogMillis());
     }
@@ -268,7 +270,7 @@
      * @return The organisation's name.
      */
     String organisation() {
-        return need.organisation();
+        return demand.organisation();
     }
 
     /**
@@ -291,9 +293,9 @@
      */
     private EngineChoice anyway(TargetLoad load, List<TargetLoad> open) {
         PromptCacheLookup cacheLookup =
-                PromptCacheLookup.of(need.chain(), open, core.targets().leaving(service));
+                PromptCacheLookup.of(demand.chain(), open, core.targets().leaving(service));
         Optional<TargetLoad> source = engine.copies() ? cacheLookup.source(load) : Optional.empty();
         long kept = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(load);
-        return new EngineChoice(load, need.promptTokens() - kept, Double.MAX_VALUE, source);
+        return new EngineChoice(load, demand.promptTokens() - kept, Double.MAX_VALUE, source);
     }
 }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.martenwell.balance.EngineChoice;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
@@ -198,8 +198,8 @@
             return Optional.empty();
         }
         GenerationFacts generation = facts.generation().get();
-        PromptNeed need =
-                new PromptNeed(
+        EngineDemand need =
+                new EngineDemand(
                         organisation.orElse(""),
                         PromptChain.of(generation.model(), generation.parts()),
                         generation.promptTokens(),
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -42,12 +42,12 @@
     void testUncachedPromptGoesToTheEnginePreferredByHash() {
         add("one", "domain-a");
         add("two", "domain-a");
-        PromptNeed need = new PromptNeed("o", chain(), 5_500, 100, 400, 0);
-        TargetLoad first = choose(need, ShareTier.PROMISED).orElseThrow().load();
+        EngineDemand demand = new EngineDemand("o", chain(), 5_500, 100, 400, 0);
+        TargetLoad first = choose(demand, ShareTier.PROMISED).orElseThrow().load();
         first.sent(new RunningRequest(2_000, 100, 0, 0));
-        assertThat(choose(need, ShareTier.PROMISED).orElseThrow().load()).isSameAs(first);
+        assertThat(choose(demand, ShareTier.PROMISED).orElseThrow().load()).isSameAs(first);
         first.sent(new RunningRequest(8_000, 100, 0, 0));
-        assertThat(choose(need, ShareTier.PROMISED).orElseThrow().load()).isNotSameAs(first);
+        assertThat(choose(demand, ShareTier.PROMISED).orElseThrow().load()).isNotSameAs(first);
     }
 
     @Test
@@ -138,7 +138,7 @@
     @Test
     void testRequestBeyondTheMemoryLimitIsSentToAnIdleEngine() {
         add("one", "domain-a");
-        PromptNeed huge = new PromptNeed("o", PromptChain.EMPTY, 200_000, 10, 100_000, 0);
+        EngineDemand huge = new EngineDemand("o", PromptChain.EMPTY, 200_000, 10, 100_000, 0);
         assertThat(choose(huge, ShareTier.PROMISED)).isPresent();
     }
 
@@ -146,8 +146,8 @@
     void testEngineWithTooLongAPrefillIsNotChosen() {
         add("one", "domain-a");
         loads.get(0).sent(new RunningRequest(20_000, 0, 0, 0));
-        PromptNeed small = new PromptNeed("o", PromptChain.EMPTY, 10, 10, 400, 0);
-        PromptNeed large = new PromptNeed("o", PromptChain.EMPTY, 30_000, 10, 400, 0);
+        EngineDemand small = new EngineDemand("o", PromptChain.EMPTY, 10, 10, 400, 0);
+        EngineDemand large = new EngineDemand("o", PromptChain.EMPTY, 30_000, 10, 400, 0);
         assertThat(choose(small, ShareTier.PROMISED)).isPresent();
         assertThat(chooser.withCapacity(large, ShareTier.PROMISED, loads, TERMS, rate, 0))
                 .hasSize(1);
@@ -155,14 +155,14 @@
     }
 
     private Optional<EngineChoice> choose(ShareTier tier) {
-        PromptNeed need = new PromptNeed("o", chain(), 5_500, 100, 400, 0);
-        return choose(need, tier);
+        EngineDemand demand = new EngineDemand("o", chain(), 5_500, 100, 400, 0);
+        return choose(demand, tier);
     }
 
-    private Optional<EngineChoice> choose(PromptNeed need, ShareTier tier) {
-        List<TargetLoad> candidates = chooser.withCapacity(need, tier, loads, TERMS, rate, 0);
-        PromptCacheLookup cacheLookup = PromptCacheLookup.of(need.chain(), loads, draining);
-        return chooser.choose(need, tier, candidates, cacheLookup, TERMS, rate, 0, 0);
+    private Optional<EngineChoice> choose(EngineDemand demand, ShareTier tier) {
+        List<TargetLoad> candidates = chooser.withCapacity(demand, tier, loads, TERMS, rate, 0);
+        PromptCacheLookup cacheLookup = PromptCacheLookup.of(demand.chain(), loads, draining);
+        return chooser.choose(demand, tier, candidates, cacheLookup, TERMS, rate, 0, 0);
     }
 
     private static PromptChain chain() {
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -194,7 +194,7 @@
 
         private final Kind kind;
 
-        private final PromptNeed need;
+        private final EngineDemand demand;
 
         private final int ownTokens;
 
@@ -211,8 +211,8 @@
                     List.of(
                             new PromptPart(prefix, kind.sharedTokens()),
                             new PromptPart("own", ownTokens));
-            this.need =
-                    new PromptNeed(
+            this.demand =
+                    new EngineDemand(
                             "o",
                             PromptChain.of("m", parts),
                             (long) kind.sharedTokens() + ownTokens,
@@ -222,10 +222,10 @@
         }
 
         private void place() {
-            Optional<EngineChoice> choice = gateway.choose(need);
+            Optional<EngineChoice> choice = gateway.choose(demand);
             if (choice.isPresent()) {
                 send(choice.get().load(), choice.get().prefillTokens());
-            } else if (now - need.arrivedMillis() < WAIT_FRACTION * need.objectiveMillis()) {
+            } else if (now - demand.arrivedMillis() < WAIT_FRACTION * demand.objectiveMillis()) {
                 schedule(now + RETRY_MILLIS, this::place);
             } else {
                 refused++;
@@ -237,7 +237,7 @@
             target.sent(running);
             gateway.unreported.sent(
                     EngineChooser.workMillis(unread / PREFILL_RATE, TERMS.slots()), (long) now);
-            target.memory().keep(need.chain(), TERMS.memoryTokens() / 2);
+            target.memory().keep(demand.chain(), TERMS.memoryTokens() / 2);
             Engine engine = engines.get(Integer.parseInt(target.target().id()));
             if (!engine.accept(this, unread)) {
                 target.ended(running);
@@ -254,12 +254,12 @@
             }
             retried = true;
             gateway.leastLoaded()
-                    .ifPresentOrElse(other -> send(other, need.promptTokens()), () -> refused++);
+                    .ifPresentOrElse(other -> send(other, demand.promptTokens()), () -> refused++);
         }
 
         private void begun(Engine engine) {
             gateway.load(engine).begun(running);
-            if (now + NETWORK_MILLIS - need.arrivedMillis() <= need.objectiveMillis()) {
+            if (now + NETWORK_MILLIS - demand.arrivedMillis() <= demand.objectiveMillis()) {
                 inTime++;
             } else {
                 late++;
@@ -367,15 +367,16 @@
             return loads.stream().filter(each -> each.health().isAvailable((long) now)).toList();
         }
 
-        private Optional<EngineChoice> choose(PromptNeed need) {
+        private Optional<EngineChoice> choose(EngineDemand demand) {
             List<TargetLoad> candidates =
-                    chooser.withCapacity(need, ShareTier.PROMISED, open(), TERMS, rate, (long) now);
+                    chooser.withCapacity(
+                            demand, ShareTier.PROMISED, open(), TERMS, rate, (long) now);
             if (candidates.isEmpty()) {
                 return Optional.empty();
             }
-            PromptCacheLookup cacheLookup = PromptCacheLookup.of(need.chain(), open(), List.of());
+            PromptCacheLookup cacheLookup = PromptCacheLookup.of(demand.chain(), open(), List.of());
             return chooser.choose(
-                    need,
+                    demand,
                     ShareTier.PROMISED,
                     candidates,
                     cacheLookup,
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
@@ -41,7 +41,7 @@
     private final EngineRouting routing =
             new EngineRouting(
                     core,
-                    new PromptNeed(
+                    new EngineDemand(
                             "low",
                             PromptChain.of("m", List.of(new PromptPart("own", 9))),
                             9,
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.martenwell.balance.EngineChoice;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
@@ -48,7 +48,7 @@
     private final EngineRouting routing =
             new EngineRouting(
                     core,
-                    new PromptNeed("o", chain, 5_009, 10, 400, core.now()),
+                    new EngineDemand("o", chain, 5_009, 10, 400, core.now()),
                     TERMS,
                     GatewayCores.SERVICE);
 
