--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -3,8 +3,8 @@
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.exchange.HttpCaller;
 import org.martenwell.exchange.HttpReply;
+import org.martenwell.prompt.CachedPart;
 import org.martenwell.prompt.KeptChanges;
-import org.martenwell.prompt.KeptPart;
 import org.martenwell.prompt.PromptCacheView;
 import org.martenwell.prompt.PromptChain;
 
@@ -137,7 +137,7 @@
      *
      * @param kept The part.
      */
-    private void take(KeptPart kept) {
+    private void take(CachedPart kept) {
         long key = PromptChain.key(kept.model(), kept.part().id());
         long tokens = kept.part().tokens();
         PromptCacheView memory = target.load().memory();
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -11,7 +11,7 @@
 import org.martenwell.exchange.HttpReply;
 import org.martenwell.exchange.TargetRequestHead;
 import org.martenwell.hash.RendezvousHash;
-import org.martenwell.prompt.KeptPart;
+import org.martenwell.prompt.CachedPart;
 import org.martenwell.prompt.PromptChain;
 
 /**
@@ -106,7 +106,7 @@
             return;
         }
         String life = target.load().target().life();
-        for (KeptPart each : core.dialect().keptParts(reply.body())) {
+        for (CachedPart each : core.dialect().keptParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().memory().keep(key, tokens, core.keptCapacity(target.load()));
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.TargetRequestHead;
+import org.martenwell.prompt.CachedPart;
 import org.martenwell.prompt.KeptChanges;
-import org.martenwell.prompt.KeptPart;
 
 /** How callers and targets of a deployment put things in headers. It decides nothing. */
 public interface RequestDialect {
@@ -83,7 +83,7 @@
      * @param body The target's answer.
      * @return The parts.
      */
-    List<KeptPart> keptParts(Body body);
+    List<CachedPart> keptParts(Body body);
 
     /**
      * Makes the request by which a target tells how what it keeps has changed.
--- a/src/main/java/org/martenwell/prompt/KeptPart.java
+++ b/src/main/java/org/martenwell/prompt/CachedPart.java
@@ -6,4 +6,4 @@
  * @param model The model whose requests can use the cached part.
  * @param part The part.
  */
-public record KeptPart(String model, PromptPart part) {}
+public record CachedPart(String model, PromptPart part) {}
