--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -4,7 +4,7 @@
 import org.martenwell.exchange.HttpCaller;
 import org.martenwell.exchange.HttpReply;
 import org.martenwell.prompt.CachedPart;
-import org.martenwell.prompt.KeptChanges;
+import org.martenwell.prompt.CachedPartChanges;
 import org.martenwell.prompt.PromptCacheView;
 import org.martenwell.prompt.PromptChain;
 
@@ -126,7 +126,7 @@
      * @param reply The engine's answer.
      */
     private void take(HttpReply reply) {
-        KeptChanges changes = core.dialect().keptChanges(reply.body());
+        CachedPartChanges changes = core.dialect().keptChanges(reply.body());
         since = changes.next();
         changes.parts().forEach(this::take);
         core.log().keptChanges(changes.parts().size(), changes.lost());
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -6,7 +6,7 @@
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.TargetRequestHead;
 import org.martenwell.prompt.CachedPart;
-import org.martenwell.prompt.KeptChanges;
+import org.martenwell.prompt.CachedPartChanges;
 
 /** How callers and targets of a deployment put things in headers. It decides nothing. */
 public interface RequestDialect {
@@ -101,7 +101,7 @@
      * @param body The target's answer.
      * @return The changes.
      */
-    KeptChanges keptChanges(Body body);
+    CachedPartChanges keptChanges(Body body);
 
     /**
      * Tells whether an answer was made by a target, rather than spoilt on its way.
--- a/src/main/java/org/martenwell/prompt/KeptChanges.java
+++ b/src/main/java/org/martenwell/prompt/CachedPartChanges.java
@@ -9,4 +9,4 @@
  * @param lost {@code true} if the target has discarded earlier changes that were not reported.
  * @param parts The changed parts; a part with 0 tokens has been evicted.
  */
-public record KeptChanges(long next, boolean lost, List<CachedPart> parts) {}
+public record CachedPartChanges(long next, boolean lost, List<CachedPart> parts) {}
