--- a/src/main/java/org/martenwell/balance/PlacedPart.java
+++ b/src/main/java/org/martenwell/balance/CachedPartUpdate.java
@@ -7,4 +7,4 @@
  * @param key The key of the prompt part.
  * @param tokens The size in tokens; 0 if the target has evicted the part.
  */
-public record PlacedPart(String target, long key, long tokens) {}
+public record CachedPartUpdate(String target, long key, long tokens) {}
--- a/src/main/java/org/martenwell/balance/GatewayReport.java
+++ b/src/main/java/org/martenwell/balance/GatewayReport.java
@@ -26,7 +26,7 @@
         long configurationVersion,
         List<TargetLoadReport> loads,
         ShareCounts shares,
-        List<PlacedPart> placed,
+        List<CachedPartUpdate> placed,
         List<String> leaving,
         List<QuarantineWord> quarantine)
         implements PeerMessage {}
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -1,6 +1,6 @@
 package org.martenwell.gateway;
 
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.exchange.HttpCaller;
 import org.martenwell.exchange.HttpReply;
 import org.martenwell.prompt.CachedPart;
@@ -146,7 +146,7 @@
             return;
         }
         core.log().keptCorrected(tokens > 0);
-        core.placed(new PlacedPart(target.load().target().life(), key, tokens));
+        core.placed(new CachedPartUpdate(target.load().target().life(), key, tokens));
         if (tokens > 0) {
             memory.keep(key, tokens, core.keptCapacity(target.load()));
         } else {
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 import java.util.Random;
 import org.martenwell.admission.FleetRetryBudget;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.EngineChooser;
 import org.martenwell.balance.EngineReserve;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ServiceChooser;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.UnreportedWork;
@@ -81,7 +81,7 @@
     private RouteTable routes = new RouteTable(List.of());
 
     /** The parts that targets keep since the last report to peers. */
-    private List<PlacedPart> placed = new ArrayList<>();
+    private List<CachedPartUpdate> placed = new ArrayList<>();
 
     /** The parts that requests have shared. */
     private final SharedKeys sharedKeys = new SharedKeys();
@@ -392,7 +392,7 @@
      */
     void placed(String target, PromptChain chain) {
         for (int index = 0; index < chain.length(); index++) {
-            placed(new PlacedPart(target, chain.key(index), chain.tokens(index)));
+            placed(new CachedPartUpdate(target, chain.key(index), chain.tokens(index)));
         }
     }
 
@@ -401,7 +401,7 @@
      *
      * @param part The part.
      */
-    void placed(PlacedPart part) {
+    void placed(CachedPartUpdate part) {
         if (placed.size() < MAX_PLACED) {
             placed.add(part);
         }
@@ -438,8 +438,8 @@
      *
      * @return The parts.
      */
-    List<PlacedPart> takePlaced() {
-        List<PlacedPart> taken = placed;
+    List<CachedPartUpdate> takePlaced() {
+        List<CachedPartUpdate> taken = placed;
         placed = new ArrayList<>();
         return taken;
     }
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.Collection;
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.HttpCaller;
 import org.martenwell.exchange.HttpReply;
@@ -110,7 +110,7 @@
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().memory().keep(key, tokens, core.keptCapacity(target.load()));
-            core.placed(new PlacedPart(life, key, tokens));
+            core.placed(new CachedPartUpdate(life, key, tokens));
         }
         core.log().changed("kept-parts", life);
     }
--- a/src/main/java/org/martenwell/gateway/PlacedPrompt.java
+++ b/src/main/java/org/martenwell/gateway/PlacedPrompt.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.prompt.PromptChain;
 
@@ -61,7 +61,7 @@
     void takeBack() {
         for (long key : keys) {
             if (load.memory().drop(key)) {
-                core.placed(new PlacedPart(load.target().life(), key, 0));
+                core.placed(new CachedPartUpdate(load.target().life(), key, 0));
             }
         }
     }
--- a/src/main/java/org/martenwell/gateway/ReportIntake.java
+++ b/src/main/java/org/martenwell/gateway/ReportIntake.java
@@ -4,9 +4,9 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.TargetLoadReport;
 
@@ -84,7 +84,7 @@
      *
      * @param part The part.
      */
-    private void takePlaced(PlacedPart part) {
+    private void takePlaced(CachedPartUpdate part) {
         core.targets().findLife(part.target()).ifPresent(target -> takePlaced(target.load(), part));
     }
 
@@ -94,7 +94,7 @@
      * @param load The target.
      * @param part The part.
      */
-    private void takePlaced(TargetLoad load, PlacedPart part) {
+    private void takePlaced(TargetLoad load, CachedPartUpdate part) {
         if (part.tokens() > 0) {
             core.sharedKeys().seen(part.key());
             load.memory().keep(part.key(), part.tokens(), core.keptCapacity(load));
--- a/src/main/java/org/martenwell/gateway/ReportMaker.java
+++ b/src/main/java/org/martenwell/gateway/ReportMaker.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.QuarantineWord;
 import org.martenwell.share.ShareCounts;
@@ -86,7 +86,7 @@
      * @return The report.
      */
     private GatewayReport with(
-            List<PlacedPart> placed, ShareCounts shares, List<QuarantineWord> quarantine) {
+            List<CachedPartUpdate> placed, ShareCounts shares, List<QuarantineWord> quarantine) {
         return new GatewayReport(
                 name,
                 incarnation,
@@ -103,14 +103,14 @@
      *
      * @return The parts.
      */
-    private List<PlacedPart> kept() {
-        List<PlacedPart> kept = new ArrayList<>();
+    private List<CachedPartUpdate> kept() {
+        List<CachedPartUpdate> kept = new ArrayList<>();
         for (KnownTarget each : core.targets().all()) {
             String life = each.load().target().life();
             each.load()
                     .memory()
                     .kept()
-                    .forEach((key, tokens) -> kept.add(new PlacedPart(life, key, tokens)));
+                    .forEach((key, tokens) -> kept.add(new CachedPartUpdate(life, key, tokens)));
         }
         return kept;
     }
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.Fingerprint;
@@ -40,7 +40,7 @@
         }
         write(message.shares(), writer);
         writer.count(message.placed().size());
-        for (PlacedPart each : message.placed()) {
+        for (CachedPartUpdate each : message.placed()) {
             writer.name(each.target());
             writer.number(each.key());
             writer.number(each.tokens());
@@ -137,7 +137,8 @@
                 reader.number(),
                 reader.list(each -> new TargetLoadReport(each.name(), readSums(each))),
                 readShares(reader),
-                reader.list(each -> new PlacedPart(each.name(), each.number(), each.number())),
+                reader.list(
+                        each -> new CachedPartUpdate(each.name(), each.number(), each.number())),
                 reader.list(FieldReader::name),
                 reader.list(GatewayForms::readQuarantineWord));
     }
--- a/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
+++ b/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
@@ -50,6 +50,7 @@
         placed.takeBack();
         assertThat(load.memory().cachedTokens(chain)).isEqualTo(100);
         assertThat(core.takePlaced())
-                .containsExactly(new PlacedPart("t@1", PromptChain.key("m", SPECIAL.id()), 0));
+                .containsExactly(
+                        new CachedPartUpdate("t@1", PromptChain.key("m", SPECIAL.id()), 0));
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -14,9 +14,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.TargetLoadReport;
@@ -173,7 +173,7 @@
                 1,
                 List.of(new TargetLoadReport(life, new LoadSums(1, 5, 7))),
                 ShareCounts.NONE,
-                List.of(new PlacedPart(life, PART, 100)),
+                List.of(new CachedPartUpdate(life, PART, 100)),
                 leaving ? List.of(life) : List.of(),
                 List.of());
     }
--- a/src/test/java/org/martenwell/peer/MessageFormsTest.java
+++ b/src/test/java/org/martenwell/peer/MessageFormsTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.configuration.Pool;
 import org.martenwell.error.ErrorKind;
@@ -155,7 +155,7 @@
                                                 Arbitraries.maps(names, shareSums).ofMaxSize(5))
                                         .as(ShareCounts::new),
                                 Combinators.combine(names, numbers, numbers)
-                                        .as(PlacedPart::new)
+                                        .as(CachedPartUpdate::new)
                                         .list()
                                         .ofMaxSize(5),
                                 names.list().ofMaxSize(5),
