--- a/src/main/java/org/martenwell/balance/EngineReserve.java
+++ b/src/main/java/org/martenwell/balance/EngineReserve.java
@@ -57,7 +57,7 @@
      * @param tokensPerMilli The demand within fair shares, in tokens of cost per millisecond.
      * @return The engines that are not reserved.
      */
-    public List<TargetLoad> spare(List<TargetLoad> engines, double tokensPerMilli) {
+    public List<TargetLoad> unreserved(List<TargetLoad> engines, double tokensPerMilli) {
         int reservedCount =
                 reservedCount(engines.size(), tokensPerMilli * prefillMillis / costTokens);
         if (reservedCount >= engines.size()) {
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -132,7 +132,7 @@
     private List<TargetLoad> allowed(List<TargetLoad> open) {
         return tier == ShareTier.PROMISED
                 ? open
-                : core.reserve().spare(open, core.tokensWithinShares());
+                : core.reserve().unreserved(open, core.tokensWithinShares());
     }
 
     /**
--- a/src/test/java/org/martenwell/balance/EngineReserveTest.java
+++ b/src/test/java/org/martenwell/balance/EngineReserveTest.java
@@ -33,15 +33,15 @@
     void testReserveCoversThePrefillsWithinShares(
             int engines, double requiredEngines, int unreserved) {
         recordRequests(10, 1_000);
-        assertThat(reserve.spare(engines(engines), 100 * requiredEngines)).hasSize(unreserved);
+        assertThat(reserve.unreserved(engines(engines), 100 * requiredEngines)).hasSize(unreserved);
     }
 
     @Test
     void testReserveFollowsThePrefillTime() {
         recordRequests(10, 1_000);
-        assertThat(reserve.spare(engines(6), 200)).hasSize(4);
+        assertThat(reserve.unreserved(engines(6), 200)).hasSize(4);
         recordRequests(20, 1_000);
-        assertThat(reserve.spare(engines(6), 200)).hasSize(2);
+        assertThat(reserve.unreserved(engines(6), 200)).hasSize(2);
     }
 
     @Test
@@ -49,8 +49,8 @@
         recordRequests(10, 1_000);
         List<TargetLoad> shuffled = engines(6);
         Collections.shuffle(shuffled, new Random(3));
-        assertThat(ids(reserve.spare(shuffled, 150)))
-                .isEqualTo(ids(reserve.spare(engines(6), 150)))
+        assertThat(ids(reserve.unreserved(shuffled, 150)))
+                .isEqualTo(ids(reserve.unreserved(engines(6), 150)))
                 .hasSize(4);
     }
 
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -136,8 +136,8 @@
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
         flood();
         EngineChoice beyond = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
-        List<TargetLoad> spare = core.reserve().spare(loads, core.tokensWithinShares());
-        assertThat(spare).containsExactly(beyond.load());
+        List<TargetLoad> unreserved = core.reserve().unreserved(loads, core.tokensWithinShares());
+        assertThat(unreserved).containsExactly(beyond.load());
         fill(beyond.load(), PLACES);
         TargetLoad reserved = loads.get(loads.indexOf(beyond.load()) == 0 ? 1 : 0);
         fill(reserved, 1);
@@ -148,11 +148,11 @@
     void testRequestBeyondItsPromisedShareIsServedByAReservedEngineThatIsIdle() {
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
         flood();
-        EngineChoice spare = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
-        fill(spare.load(), PLACES);
+        EngineChoice unreserved = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
+        fill(unreserved.load(), PLACES);
         EngineRouting.Decision decision = routing.decide(loads, 0, GatewayCores.route(400));
         assertThat(decision.use().tier()).isEqualTo(ShareTier.OBSERVED);
-        assertThat(decision.choice().get().load()).isNotSameAs(spare.load());
+        assertThat(decision.choice().get().load()).isNotSameAs(unreserved.load());
     }
 
     @Test
