--- a/src/main/java/org/martenwell/balance/PromptCacheLookup.java
+++ b/src/main/java/org/martenwell/balance/PromptCacheLookup.java
@@ -16,13 +16,13 @@
     private static final long MIN_COPY_TOKENS = 16;
 
     /** The cached tokens by engine; engines without any are left out. */
-    private final Map<TargetLoad, Long> kept = new HashMap<>();
+    private final Map<TargetLoad, Long> cachedByEngine = new HashMap<>();
 
     /** The engine with the most cached tokens; {@code null} if none has any. */
     private TargetLoad largestHolder;
 
     /** The cached tokens of that engine. */
-    private long most;
+    private long maxTokens;
 
     /** The engine with the highest hash score; {@code null} if there are no engines. */
     private TargetLoad preferred;
@@ -36,18 +36,18 @@
      *
      * @param chain The prompt's shared parts.
      * @param loads The engines that may be chosen.
-     * @param leaving The engines that can't be chosen but can serve as the source of a copy.
+     * @param draining The engines that can't be chosen but can serve as the source of a copy.
      * @return The result.
      */
     public static PromptCacheLookup of(
-            PromptChain chain, Collection<TargetLoad> loads, Collection<TargetLoad> leaving) {
-        PromptCacheLookup cacheLookup = new PromptCacheLookup();
+            PromptChain chain, Collection<TargetLoad> loads, Collection<TargetLoad> draining) {
+        PromptCacheLookup lookup = new PromptCacheLookup();
         for (TargetLoad each : loads) {
-            cacheLookup.addCached(each, chain);
-            cacheLookup.updatePreferred(each, chain);
+            lookup.addCached(each, chain);
+            lookup.updatePreferred(each, chain);
         }
-        leaving.forEach(each -> cacheLookup.addCached(each, chain));
-        return cacheLookup;
+        draining.forEach(each -> lookup.addCached(each, chain));
+        return lookup;
     }
 
     /**
@@ -57,7 +57,7 @@
      * @return The tokens, 0 if none.
      */
     public long cachedTokens(TargetLoad load) {
-        return kept.getOrDefault(load, 0L);
+        return cachedByEngine.getOrDefault(load, 0L);
     }
 
     /**
@@ -66,7 +66,7 @@
      * @return The tokens, 0 if no engine has any.
      */
     public long most() {
-        return most;
+        return maxTokens;
     }
 
     /**
@@ -76,7 +76,7 @@
      * @return The engine with the most cached tokens, or empty if the gain is too small.
      */
     public Optional<TargetLoad> source(TargetLoad load) {
-        boolean worthwhile = most - cachedTokens(load) >= MIN_COPY_TOKENS;
+        boolean worthwhile = maxTokens - cachedTokens(load) >= MIN_COPY_TOKENS;
         return worthwhile ? Optional.ofNullable(largestHolder) : Optional.empty();
     }
 
@@ -93,10 +93,10 @@
     private void addCached(TargetLoad load, PromptChain chain) {
         long tokens = load.memory().cachedTokens(chain);
         if (tokens > 0) {
-            kept.put(load, tokens);
+            cachedByEngine.put(load, tokens);
         }
-        if (tokens > most) {
-            most = tokens;
+        if (tokens > maxTokens) {
+            maxTokens = tokens;
             largestHolder = load;
         }
     }
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -22,8 +22,8 @@
     private static final long PEER_EXPIRY_MILLIS = 1_500;
 
     /**
-     * The shortest time for which capacity is shared out, in milliseconds. It leaves room for one
-     * large prompt directly after a start.
+     * The shortest time for which capacity is shared out, in milliseconds. It allows for one large
+     * prompt directly after a start.
      */
     private static final long MIN_COUNTED_MILLIS = 500;
 
--- a/src/main/java/org/martenwell/share/ShareSummary.java
+++ b/src/main/java/org/martenwell/share/ShareSummary.java
@@ -40,9 +40,7 @@
         return new ShareSummary(level, observedLevel, produced, organisations);
     }
 
-    /**
-     * Returns a text like {@code level 5, observed 6, produced 9, o asked 9 got 6 withinShare 5}.
-     */
+    /** Returns a text like {@code level 5, observed 6, produced 9, o asked 9 got 6 within 5}. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -37,14 +37,14 @@
             long seed) {}
 
     /** The numbers of requests by their outcome. */
-    record Outcome(int asked, int inTime, int late, int refused, int rejected) {
+    record Outcome(int total, int inTime, int late, int refused, int rejected) {
 
         double inTimeShare() {
-            return (double) inTime / asked;
+            return (double) inTime / total;
         }
 
         double rejectedShare() {
-            return (double) rejected / Math.max(1, asked);
+            return (double) rejected / Math.max(1, total);
         }
     }
 
@@ -52,9 +52,9 @@
     private record Kind(
             double share,
             int sharedTokens,
-            int prefixes,
-            int own,
-            int answer,
+            int prefixCount,
+            int ownPartTokens,
+            int answerTokens,
             long objectiveMillis) {}
 
     /** Reports, questions and classifications. */
@@ -108,7 +108,7 @@
 
     private long order;
 
-    private int asked;
+    private int total;
 
     private int inTime;
 
@@ -155,7 +155,7 @@
             now = event.at();
             event.action().run();
         }
-        return new Outcome(asked, inTime, late, refused, rejected);
+        return new Outcome(total, inTime, late, refused, rejected);
     }
 
     private double next(double at) {
@@ -167,7 +167,7 @@
     }
 
     private void arrive() {
-        asked++;
+        total++;
         Gateway gateway = gateways.get(random.nextInt(gateways.size()));
         new Request(gateway, kind()).place();
     }
@@ -205,8 +205,8 @@
         private Request(Gateway gateway, Kind kind) {
             this.gateway = gateway;
             this.kind = kind;
-            this.ownTokens = (int) (kind.own() * (0.5 + random.nextDouble()));
-            String prefix = kind.answer() + "-" + random.nextInt(kind.prefixes());
+            this.ownTokens = (int) (kind.ownPartTokens() * (0.5 + random.nextDouble()));
+            String prefix = kind.answerTokens() + "-" + random.nextInt(kind.prefixCount());
             List<PromptPart> parts =
                     List.of(
                             new PromptPart(prefix, kind.sharedTokens()),
@@ -216,7 +216,7 @@
                             "o",
                             PromptChain.of("m", parts),
                             (long) kind.sharedTokens() + ownTokens,
-                            kind.answer(),
+                            kind.answerTokens(),
                             kind.objectiveMillis(),
                             (long) now);
         }
@@ -232,14 +232,17 @@
             }
         }
 
-        private void send(TargetLoad target, long unread) {
-            running = new RunningRequest(unread, (long) ownTokens + kind.answer(), (long) now, 0);
+        private void send(TargetLoad target, long prefillTokens) {
+            running =
+                    new RunningRequest(
+                            prefillTokens, (long) ownTokens + kind.answerTokens(), (long) now, 0);
             target.sent(running);
             gateway.unreported.sent(
-                    EngineChooser.workMillis(unread / PREFILL_RATE, TERMS.slots()), (long) now);
+                    EngineChooser.workMillis(prefillTokens / PREFILL_RATE, TERMS.slots()),
+                    (long) now);
             target.memory().keep(demand.chain(), TERMS.memoryTokens() / 2);
             Engine engine = engines.get(Integer.parseInt(target.target().id()));
-            if (!engine.accept(this, unread)) {
+            if (!engine.accept(this, prefillTokens)) {
                 target.ended(running);
                 rejected++;
                 retry(target);
@@ -286,11 +289,11 @@
             this.index = index;
         }
 
-        private boolean accept(Request request, long unread) {
+        private boolean accept(Request request, long prefillTokens) {
             if (waiting.size() >= MAX_QUEUED) {
                 return false;
             }
-            waiting.add(() -> start(request, unread));
+            waiting.add(() -> start(request, prefillTokens));
             startNext();
             return true;
         }
@@ -302,13 +305,13 @@
             }
         }
 
-        private void start(Request request, long unread) {
-            prefillFreeAt = Math.max(now, prefillFreeAt) + unread / PREFILL_RATE;
+        private void start(Request request, long prefillTokens) {
+            prefillFreeAt = Math.max(now, prefillFreeAt) + prefillTokens / PREFILL_RATE;
             double first = prefillFreeAt + BASE_MILLIS;
             double tokenMillis = TOKEN_MILLIS + TOKEN_MILLIS_PER_SLOT * running;
             schedule(first, () -> request.begun(this));
             schedule(
-                    first + tokenMillis * request.kind.answer(),
+                    first + tokenMillis * request.kind.answerTokens(),
                     () -> {
                         request.ended(this);
                         running--;
--- a/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
+++ b/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
@@ -25,22 +25,22 @@
 
     @Test
     void testPartCountsOnlyIfAllPartsBeforeItAreCached() {
-        PromptCacheView memory = new PromptCacheView();
-        memory.keep(CHAIN.key(1), 100, 1_000);
-        assertThat(memory.cachedTokens(CHAIN)).isZero();
-        memory.keep(CHAIN.key(0), 100, 1_000);
-        assertThat(memory.cachedTokens(CHAIN)).isEqualTo(200);
+        PromptCacheView cache = new PromptCacheView();
+        cache.keep(CHAIN.key(1), 100, 1_000);
+        assertThat(cache.cachedTokens(CHAIN)).isZero();
+        cache.keep(CHAIN.key(0), 100, 1_000);
+        assertThat(cache.cachedTokens(CHAIN)).isEqualTo(200);
     }
 
     @Test
     void testLeastRecentlyUsedPartsAreEvictedFirst() {
-        PromptCacheView memory = new PromptCacheView();
-        memory.keep(CHAIN, 300);
-        memory.keep(chain("model", "c", "x"), 300);
-        memory.keep(CHAIN, 300);
-        memory.keep(chain("model", "d", "x"), 300);
-        assertThat(memory.cachedTokens(CHAIN)).isEqualTo(200);
-        assertThat(memory.cachedTokens(chain("model", "c", "x"))).isZero();
+        PromptCacheView cache = new PromptCacheView();
+        cache.keep(CHAIN, 300);
+        cache.keep(chain("model", "c", "x"), 300);
+        cache.keep(CHAIN, 300);
+        cache.keep(chain("model", "d", "x"), 300);
+        assertThat(cache.cachedTokens(CHAIN)).isEqualTo(200);
+        assertThat(cache.cachedTokens(chain("model", "c", "x"))).isZero();
     }
 
     private static PromptChain chain(String model, String... ids) {
--- a/src/test/java/org/martenwell/prompt/SharedKeysTest.java
+++ b/src/test/java/org/martenwell/prompt/SharedKeysTest.java
@@ -21,14 +21,14 @@
 
     @Test
     void testEvictedPartFreesCapacity() {
-        PromptCacheView memory = new PromptCacheView();
-        memory.keep(1, 60, 100);
-        assertThat(memory.drop(1)).isTrue();
-        assertThat(memory.drop(1)).isFalse();
-        memory.keep(2, 60, 100);
-        memory.keep(3, 40, 100);
-        assertThat(memory.keeps(1)).isFalse();
-        assertThat(memory.keeps(2)).isTrue();
-        assertThat(memory.keeps(3)).isTrue();
+        PromptCacheView cache = new PromptCacheView();
+        cache.keep(1, 60, 100);
+        assertThat(cache.drop(1)).isTrue();
+        assertThat(cache.drop(1)).isFalse();
+        cache.keep(2, 60, 100);
+        cache.keep(3, 40, 100);
+        assertThat(cache.keeps(1)).isFalse();
+        assertThat(cache.keeps(2)).isTrue();
+        assertThat(cache.keeps(3)).isTrue();
     }
 }
--- a/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
@@ -65,10 +65,10 @@
         for (long now = 0; now < WARM_UP_MILLIS + COMPARED_MILLIS; now++) {
             exchangeReports(reports, now);
             if (random.nextDouble() < requestsPerMilli) {
-                ask(gateways.get(0), "one", cost(random), now);
+                request(gateways.get(0), "one", cost(random), now);
             }
             if (random.nextDouble() < requestsPerMilli) {
-                ask(gateways.get(random.nextInt(count)), "spread", cost(random), now);
+                request(gateways.get(random.nextInt(count)), "spread", cost(random), now);
             }
         }
     }
@@ -102,7 +102,7 @@
                 : MEAN_COST * (1 + random.nextDouble() * 9);
     }
 
-    private void ask(FairShares gateway, String organisation, double tokens, long now) {
+    private void request(FairShares gateway, String organisation, double tokens, long now) {
         gateway.asked(organisation, tokens, now);
         ShareTier tier = gateway.use(organisation, tokens, CAPACITY, now).tier();
         if (tier == ShareTier.PROMISED) {
