--- a/src/main/java/org/martenwell/balance/PromptCacheLookup.java
+++ b/src/main/java/org/martenwell/balance/PromptCacheLookup.java
@@ -91,7 +91,7 @@
     }
 
     private void addCached(TargetLoad load, PromptChain chain) {
-        long tokens = load.memory().cachedTokens(chain);
+        long tokens = load.promptCache().cachedTokens(chain);
         if (tokens > 0) {
             cachedByEngine.put(load, tokens);
         }
--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -44,7 +44,7 @@
     /** The last report of each peer with requests at the target, by peer. */
     private final Map<String, PeerLoad> peers = new HashMap<>();
 
-    private final PromptCacheView memory = new PromptCacheView();
+    private final PromptCacheView promptCache = new PromptCacheView();
 
     private final TargetHealth health = new TargetHealth();
 
@@ -99,8 +99,8 @@
     }
 
     /** {@return the estimate of the target's prompt cache} */
-    public PromptCacheView memory() {
-        return memory;
+    public PromptCacheView promptCache() {
+        return promptCache;
     }
 
     /** {@return the health of the target} */
--- a/src/main/java/org/martenwell/gateway/FollowedEngine.java
+++ b/src/main/java/org/martenwell/gateway/FollowedEngine.java
@@ -140,17 +140,17 @@
     private void take(CachedPart kept) {
         long key = PromptChain.key(kept.model(), kept.part().id());
         long tokens = kept.part().tokens();
-        PromptCacheView memory = target.load().memory();
-        boolean news = tokens > 0 != memory.keeps(key);
+        PromptCacheView memory = target.load().promptCache();
+        boolean news = tokens > 0 != memory.contains(key);
         if (!news || (tokens > 0 && !core.sharedKeys().contains(key))) {
             return;
         }
         core.log().keptCorrected(tokens > 0);
         core.placed(new CachedPartUpdate(target.load().target().life(), key, tokens));
         if (tokens > 0) {
-            memory.keep(key, tokens, core.keptCapacity(target.load()));
+            memory.put(key, tokens, core.keptCapacity(target.load()));
         } else {
-            memory.drop(key);
+            memory.evict(key);
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/KeptPartsLoader.java
@@ -54,7 +54,7 @@
     void load(Collection<String> gateways) {
         for (KnownTarget each : core.targets().all()) {
             boolean engine = core.keptCapacity(each.load()) > 0;
-            if (engine && each.load().memory().isEmpty() && falls(each, gateways)) {
+            if (engine && each.load().promptCache().isEmpty() && falls(each, gateways)) {
                 ask(each);
             }
         }
@@ -109,7 +109,7 @@
         for (CachedPart each : core.dialect().keptParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
-            target.load().memory().keep(key, tokens, core.keptCapacity(target.load()));
+            target.load().promptCache().put(key, tokens, core.keptCapacity(target.load()));
             core.placed(new CachedPartUpdate(life, key, tokens));
         }
         core.log().changed("kept-parts", life);
--- a/src/main/java/org/martenwell/gateway/PlacedPrompt.java
+++ b/src/main/java/org/martenwell/gateway/PlacedPrompt.java
@@ -46,21 +46,21 @@
     static PlacedPrompt at(GatewayCore core, TargetLoad load, PromptChain chain) {
         List<Long> keys = new ArrayList<>();
         for (int index = 0; index < chain.length(); index++) {
-            if (!load.memory().keeps(chain.key(index))) {
+            if (!load.promptCache().contains(chain.key(index))) {
                 keys.add(chain.key(index));
             }
         }
         if (!keys.isEmpty()) {
             core.placed(load.target().life(), chain);
         }
-        load.memory().keep(chain, core.keptCapacity(load));
+        load.promptCache().put(chain, core.keptCapacity(load));
         return new PlacedPrompt(core, load, keys);
     }
 
     /** Notes that the engine has not read the parts. */
     void takeBack() {
         for (long key : keys) {
-            if (load.memory().drop(key)) {
+            if (load.promptCache().evict(key)) {
                 core.placed(new CachedPartUpdate(load.target().life(), key, 0));
             }
         }
--- a/src/main/java/org/martenwell/gateway/ReportIntake.java
+++ b/src/main/java/org/martenwell/gateway/ReportIntake.java
@@ -97,9 +97,9 @@
     private void takePlaced(TargetLoad load, CachedPartUpdate part) {
         if (part.tokens() > 0) {
             core.sharedKeys().seen(part.key());
-            load.memory().keep(part.key(), part.tokens(), core.keptCapacity(load));
+            load.promptCache().put(part.key(), part.tokens(), core.keptCapacity(load));
         } else {
-            load.memory().drop(part.key());
+            load.promptCache().evict(part.key());
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/ReportMaker.java
+++ b/src/main/java/org/martenwell/gateway/ReportMaker.java
@@ -108,8 +108,8 @@
         for (KnownTarget each : core.targets().all()) {
             String life = each.load().target().life();
             each.load()
-                    .memory()
-                    .kept()
+                    .promptCache()
+                    .sizes()
                     .forEach((key, tokens) -> kept.add(new CachedPartUpdate(life, key, tokens)));
         }
         return kept;
--- a/src/main/java/org/martenwell/prompt/PromptCacheView.java
+++ b/src/main/java/org/martenwell/prompt/PromptCacheView.java
@@ -26,7 +26,7 @@
      * @param tokens The part's size in tokens.
      * @param capacity The capacity of the target's cache, in tokens.
      */
-    public void keep(long key, long tokens, long capacity) {
+    public void put(long key, long tokens, long capacity) {
         Long before = sizes.put(key, tokens);
         totalTokens += tokens - (before == null ? 0 : before);
         Iterator<Map.Entry<Long, Long>> oldest = sizes.entrySet().iterator();
@@ -42,7 +42,7 @@
      * @param key The part's key.
      * @return {@code true} if the part was recorded as cached.
      */
-    public boolean drop(long key) {
+    public boolean evict(long key) {
         Long tokens = sizes.remove(key);
         if (tokens == null) {
             return false;
@@ -57,7 +57,7 @@
      * @param key The part's key.
      * @return {@code true} if it is.
      */
-    public boolean keeps(long key) {
+    public boolean contains(long key) {
         return sizes.containsKey(key);
     }
 
@@ -67,9 +67,9 @@
      * @param chain The chain.
      * @param capacity The capacity of the target's cache, in tokens.
      */
-    public void keep(PromptChain chain, long capacity) {
+    public void put(PromptChain chain, long capacity) {
         for (int index = 0; index < chain.length(); index++) {
-            keep(chain.key(index), chain.tokens(index), capacity);
+            put(chain.key(index), chain.tokens(index), capacity);
         }
     }
 
@@ -83,7 +83,7 @@
      *
      * @return The sizes in tokens by key.
      */
-    public Map<Long, Long> kept() {
+    public Map<Long, Long> sizes() {
         return Map.copyOf(sizes);
     }
 
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -31,7 +31,7 @@
     void testEngineThatCachesThePromptIsPreferred() {
         add("one", "domain-a");
         add("two", "domain-a");
-        loads.get(1).memory().keep(chain(), 100_000);
+        loads.get(1).promptCache().put(chain(), 100_000);
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("two");
         assertThat(choice.prefillTokens()).isEqualTo(500);
@@ -54,7 +54,7 @@
     void testSourceOfACopyIsTheEngineWithTheMostCachedTokens() {
         add("one", "domain-a");
         add("two", "domain-a");
-        loads.get(1).memory().keep(chain(), 100_000);
+        loads.get(1).promptCache().put(chain(), 100_000);
         PromptCacheLookup cacheLookup = PromptCacheLookup.of(chain(), loads, draining);
         assertThat(cacheLookup.source(loads.get(0))).contains(loads.get(1));
         assertThat(cacheLookup.source(loads.get(1))).isEmpty();
@@ -64,7 +64,7 @@
     void testCachedPartsAreCopiedFromABusyEngine() {
         add("one", "domain-a");
         add("two", "domain-a");
-        loads.get(1).memory().keep(chain(), 100_000);
+        loads.get(1).promptCache().put(chain(), 100_000);
         loads.get(1).sent(new RunningRequest(20_000, 20_000, 0, 0));
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
@@ -77,7 +77,7 @@
         add("one", "domain-a");
         add("two", "domain-a");
         draining.add(loads.remove(1));
-        draining.get(0).memory().keep(chain(), 100_000);
+        draining.get(0).promptCache().put(chain(), 100_000);
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
         assertThat(choice.copyFrom()).contains(draining.get(0));
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -240,7 +240,7 @@
             gateway.unreported.sent(
                     EngineChooser.workMillis(prefillTokens / PREFILL_RATE, TERMS.slots()),
                     (long) now);
-            target.memory().keep(demand.chain(), TERMS.memoryTokens() / 2);
+            target.promptCache().put(demand.chain(), TERMS.memoryTokens() / 2);
             Engine engine = engines.get(Integer.parseInt(target.target().id()));
             if (!engine.accept(this, prefillTokens)) {
                 target.ended(running);
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -66,7 +66,7 @@
     void testRetryWithoutRoomCopiesThePrompt() {
         fill(loads.get(0), PLACES);
         fill(loads.get(1), PLACES + 1);
-        loads.get(1).memory().keep(chain, 100_000);
+        loads.get(1).promptCache().put(chain, 100_000);
         EngineChoice choice = routing.decide(loads, 1, null).choice().orElseThrow();
         assertThat(choice.load()).isSameAs(loads.get(0));
         assertThat(choice.copyFrom()).contains(loads.get(1));
@@ -88,11 +88,11 @@
     void testRefusedPromptIsNotTakenToBeKeptAndABegunOneIs() {
         routing.sent(choice(loads.get(0)));
         routing.notRead();
-        assertThat(loads.get(0).memory().cachedTokens(chain)).isZero();
+        assertThat(loads.get(0).promptCache().cachedTokens(chain)).isZero();
         routing.sent(choice(loads.get(0)));
         routing.begun(new RunningRequest(5_009, 10, core.now(), 0));
         routing.notRead();
-        assertThat(loads.get(0).memory().cachedTokens(chain)).isEqualTo(5_000);
+        assertThat(loads.get(0).promptCache().cachedTokens(chain)).isEqualTo(5_000);
     }
 
     /**
--- a/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
+++ b/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
@@ -43,12 +43,12 @@
     @Test
     void testPartsThatWereNotReadAreTakenBackAndPeersAreTold() {
         core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
-        load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
+        load.promptCache().put(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
         PlacedPrompt placed = PlacedPrompt.at(core, load, chain);
-        assertThat(load.memory().cachedTokens(chain)).isEqualTo(300);
+        assertThat(load.promptCache().cachedTokens(chain)).isEqualTo(300);
         core.takePlaced();
         placed.takeBack();
-        assertThat(load.memory().cachedTokens(chain)).isEqualTo(100);
+        assertThat(load.promptCache().cachedTokens(chain)).isEqualTo(100);
         assertThat(core.takePlaced())
                 .containsExactly(
                         new CachedPartUpdate("t@1", PromptChain.key("m", SPECIAL.id()), 0));
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -55,11 +55,11 @@
     @Test
     void testTargetThatStartedAgainHasNoRequestsAndKeepsNothing() {
         load().sent(new RunningRequest(100, 100, 1, 0));
-        load().memory().keep(PART, 100, 100_000);
+        load().promptCache().put(PART, 100, 100_000);
         load().health().suspend(1, 60_000);
         tell(target(6, false));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
-        assertThat(load().memory().isEmpty()).isTrue();
+        assertThat(load().promptCache().isEmpty()).isTrue();
         assertThat(load().health().isAvailable(1)).isTrue();
     }
 
@@ -80,7 +80,7 @@
         tell(target(6, false));
         intake.take(report(former, true));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
-        assertThat(load().memory().isEmpty()).isTrue();
+        assertThat(load().promptCache().isEmpty()).isTrue();
         assertThat(core.targets().leaving()).isEmpty();
     }
 
@@ -148,7 +148,7 @@
                 leaving.add(born);
             }
             assertThat(load().all(1).requests()).isEqualTo(loaded ? 1 : 0);
-            assertThat(load().memory().isEmpty()).isEqualTo(!told);
+            assertThat(load().promptCache().isEmpty()).isEqualTo(!told);
             assertThat(core.targets().leaving()).hasSize(leaving.contains(present) ? 1 : 0);
         }
     }
--- a/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
+++ b/src/test/java/org/martenwell/prompt/PromptCacheViewTest.java
@@ -26,19 +26,19 @@
     @Test
     void testPartCountsOnlyIfAllPartsBeforeItAreCached() {
         PromptCacheView cache = new PromptCacheView();
-        cache.keep(CHAIN.key(1), 100, 1_000);
+        cache.put(CHAIN.key(1), 100, 1_000);
         assertThat(cache.cachedTokens(CHAIN)).isZero();
-        cache.keep(CHAIN.key(0), 100, 1_000);
+        cache.put(CHAIN.key(0), 100, 1_000);
         assertThat(cache.cachedTokens(CHAIN)).isEqualTo(200);
     }
 
     @Test
     void testLeastRecentlyUsedPartsAreEvictedFirst() {
         PromptCacheView cache = new PromptCacheView();
-        cache.keep(CHAIN, 300);
-        cache.keep(chain("model", "c", "x"), 300);
-        cache.keep(CHAIN, 300);
-        cache.keep(chain("model", "d", "x"), 300);
+        cache.put(CHAIN, 300);
+        cache.put(chain("model", "c", "x"), 300);
+        cache.put(CHAIN, 300);
+        cache.put(chain("model", "d", "x"), 300);
         assertThat(cache.cachedTokens(CHAIN)).isEqualTo(200);
         assertThat(cache.cachedTokens(chain("model", "c", "x"))).isZero();
     }
--- a/src/test/java/org/martenwell/prompt/SharedKeysTest.java
+++ b/src/test/java/org/martenwell/prompt/SharedKeysTest.java
@@ -22,13 +22,13 @@
     @Test
     void testEvictedPartFreesCapacity() {
         PromptCacheView cache = new PromptCacheView();
-        cache.keep(1, 60, 100);
-        assertThat(cache.drop(1)).isTrue();
-        assertThat(cache.drop(1)).isFalse();
-        cache.keep(2, 60, 100);
-        cache.keep(3, 40, 100);
-        assertThat(cache.keeps(1)).isFalse();
-        assertThat(cache.keeps(2)).isTrue();
-        assertThat(cache.keeps(3)).isTrue();
+        cache.put(1, 60, 100);
+        assertThat(cache.evict(1)).isTrue();
+        assertThat(cache.evict(1)).isFalse();
+        cache.put(2, 60, 100);
+        cache.put(3, 40, 100);
+        assertThat(cache.contains(1)).isFalse();
+        assertThat(cache.contains(2)).isTrue();
+        assertThat(cache.contains(3)).isTrue();
     }
 }
