--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -80,7 +80,7 @@
         for (int index = 0; index < demand.chain().length(); index++) {
             core.sharedKeys().seen(demand.chain().key(index));
         }
-        core.shares().asked(demand.organisation(), demand.cost(), core.now());
+        core.shares().requested(demand.organisation(), demand.cost(), core.now());
     }
 
     /**
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -93,7 +93,7 @@
         writer.count(shares.sums().size());
         for (Map.Entry<String, ShareSums> each : shares.sums().entrySet()) {
             writer.name(each.getKey());
-            writer.number(Math.round(each.getValue().asked()));
+            writer.number(Math.round(each.getValue().requested()));
             writer.number(Math.round(each.getValue().sent()));
             writer.number(Math.round(each.getValue().withinShare()));
         }
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -30,7 +30,7 @@
     private final long windowMillis;
 
     /** The cost of the requests received here, by organisation. */
-    private final Map<String, SlidingSum> asked = new HashMap<>();
+    private final Map<String, SlidingSum> requested = new HashMap<>();
 
     /** The cost of the requests sent from here, by organisation. */
     private final Map<String, SlidingSum> sent = new HashMap<>();
@@ -92,12 +92,14 @@
      * @param tokens The cost of the request, in tokens.
      * @param now The current time, in milliseconds.
      */
-    public void asked(String organisation, double tokens, long now) {
+    public void requested(String organisation, double tokens, long now) {
         if (now - lastRequestMillis > windowMillis) {
             countedSinceMillis = now;
         }
         lastRequestMillis = now;
-        asked.computeIfAbsent(organisation, name -> new SlidingSum(windowMillis)).add(tokens, now);
+        requested
+                .computeIfAbsent(organisation, name -> new SlidingSum(windowMillis))
+                .add(tokens, now);
     }
 
     /**
@@ -153,13 +155,13 @@
      */
     public ShareCounts own(long now) {
         Map<String, ShareSums> sums = new HashMap<>();
-        for (String each : asked.keySet()) {
+        for (String each : requested.keySet()) {
             ShareSums own =
                     new ShareSums(
-                            sum(asked, each, now),
+                            sum(requested, each, now),
                             sum(sent, each, now),
                             sum(withinShare, each, now));
-            if (own.asked() > 0 || own.sent() > 0) {
+            if (own.requested() > 0 || own.sent() > 0) {
                 sums.put(each, own);
             }
         }
@@ -255,7 +257,7 @@
      */
     private void computeLevels(Map<String, ShareSums> all, double capacity) {
         Map<String, Double> demands = new HashMap<>();
-        all.forEach((name, sums) -> demands.put(name, sums.asked()));
+        all.forEach((name, sums) -> demands.put(name, sums.requested()));
         double produced = all.values().stream().mapToDouble(ShareSums::sent).sum();
         level = MaxMinFairness.level(demands, capacity);
         observedLevel = MaxMinFairness.level(demands, Math.max(capacity, produced));
--- a/src/main/java/org/martenwell/share/ShareSummary.java
+++ b/src/main/java/org/martenwell/share/ShareSummary.java
@@ -31,7 +31,7 @@
             double level, double observedLevel, Map<String, ShareSums> sums, int limit) {
         Map<String, ShareSums> organisations = new LinkedHashMap<>();
         Comparator<Map.Entry<String, ShareSums>> byAsked =
-                Comparator.comparingDouble(each -> -each.getValue().asked());
+                Comparator.comparingDouble(each -> -each.getValue().requested());
         sums.entrySet().stream()
                 .sorted(byAsked)
                 .limit(limit)
@@ -58,7 +58,7 @@
                                         Locale.ROOT,
                                         ", %s asked %.0f got %.0f within %.0f",
                                         name,
-                                        sums.asked(),
+                                        sums.requested(),
                                         sums.sent(),
                                         sums.withinShare())));
         return text.toString();
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -62,9 +62,9 @@
 
     @Test
     void testRequestWithinItsShareOfWhatIsProducedIsServedByIdleEngines() {
-        core.shares().asked("high", 100 * PROMISED_TOKENS, core.now());
+        core.shares().requested("high", 100 * PROMISED_TOKENS, core.now());
         core.shares().sent("high", 20 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
-        core.shares().asked("low", 100 * PROMISED_TOKENS, core.now());
+        core.shares().requested("low", 100 * PROMISED_TOKENS, core.now());
         core.shares().sent("low", 4 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
         core.reserve().sent(1e9, 1);
         EngineRouting.Decision decision = routing.decide(loads, 0, GatewayCores.route(400));
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -174,7 +174,7 @@
 
     /** Lets the organisation ask for and get more than the fleet is promised to produce. */
     private void flood() {
-        core.shares().asked("o", 10 * PROMISED_TOKENS, core.now());
+        core.shares().requested("o", 10 * PROMISED_TOKENS, core.now());
         core.shares().sent("o", 10 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
     }
 
--- a/src/test/java/org/martenwell/gateway/ReportMakerTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportMakerTest.java
@@ -27,14 +27,14 @@
 
     @Test
     void testSmallFleetIsToldSharesInEachReport() {
-        core.shares().asked("o", 10, core.now());
+        core.shares().requested("o", 10, core.now());
         assertThat(maker.next(false).shares().sums()).hasSize(1);
         assertThat(maker.next(false).shares().sums()).hasSize(1);
     }
 
     @Test
     void testLargeFleetIsToldSharesNowAndThen() {
-        core.shares().asked("o", 10, core.now());
+        core.shares().requested("o", 10, core.now());
         assertThat(maker.next(true).shares().sums()).hasSize(1);
         assertThat(maker.next(true).shares().sums()).isEmpty();
         pass(LATER_MILLIS);
@@ -45,7 +45,7 @@
     void testReportWithoutSharesLeavesThoseOfTheLastOne() {
         GatewayCore peer = GatewayCores.of(loop);
         ReportIntake intake = new ReportIntake(peer);
-        core.shares().asked("o", 1_000, core.now());
+        core.shares().requested("o", 1_000, core.now());
         core.shares().sent("o", 1_000, ShareTier.PROMISED, core.now());
         GatewayReport first = maker.next(true);
         intake.take(first);
--- a/src/test/java/org/martenwell/peer/MessageFormsTest.java
+++ b/src/test/java/org/martenwell/peer/MessageFormsTest.java
@@ -135,7 +135,9 @@
                 Combinators.combine(counts, numbers, numbers).as(LoadSums::new);
         Arbitrary<ShareSums> shareSums =
                 Combinators.combine(counts, counts, counts)
-                        .as((asked, sent, withinShare) -> new ShareSums(asked, sent, withinShare));
+                        .as(
+                                (requested, sent, withinShare) ->
+                                        new ShareSums(requested, sent, withinShare));
         Arbitrary<Fingerprint> fingerprints =
                 Combinators.combine(numbers, numbers).as(Fingerprint::new);
         Arbitrary<QuarantineWord> words =
--- a/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
@@ -103,7 +103,7 @@
     }
 
     private void request(FairShares gateway, String organisation, double tokens, long now) {
-        gateway.asked(organisation, tokens, now);
+        gateway.requested(organisation, tokens, now);
         ShareTier tier = gateway.use(organisation, tokens, CAPACITY, now).tier();
         if (tier == ShareTier.PROMISED) {
             gateway.sent(organisation, tokens, tier, now);
--- a/src/test/java/org/martenwell/share/FairSharesTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesTest.java
@@ -18,20 +18,21 @@
 
     @Property(tries = 500, seed = "21")
     void testLevelAllocatesExactlyTheCapacity(
-            @ForAll @Size(min = 1, max = 20) List<@DoubleRange(min = 0, max = 1_000) Double> asked,
+            @ForAll @Size(min = 1, max = 20)
+                    List<@DoubleRange(min = 0, max = 1_000) Double> requested,
             @ForAll @DoubleRange(min = 1, max = 5_000) double capacity) {
         Map<String, Double> demands = new HashMap<>();
-        asked.forEach(each -> demands.put("o" + demands.size(), each));
+        requested.forEach(each -> demands.put("o" + demands.size(), each));
         double level = MaxMinFairness.level(demands, capacity);
-        double total = asked.stream().mapToDouble(Double::doubleValue).sum();
-        double given = asked.stream().mapToDouble(each -> Math.min(each, level)).sum();
+        double total = requested.stream().mapToDouble(Double::doubleValue).sum();
+        double given = requested.stream().mapToDouble(each -> Math.min(each, level)).sum();
         assertThat(given).isCloseTo(Math.min(total, capacity), within(1e-6 * (1 + total)));
     }
 
     @Test
     void testNoShareIsExceededWhileAllDemandsAreMet() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 900, 0);
+        shares.requested("a", 900, 0);
         shares.sent("a", 900, ShareTier.PROMISED, 0);
         assertThat(shares.use("a", 10, 1_000, 3_900).tier()).isEqualTo(ShareTier.PROMISED);
     }
@@ -51,9 +52,9 @@
     @Test
     void testFloodingOrganisationIsBeyondItsShareAndOthersAreNot() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("flood", 10_000, 0);
+        shares.requested("flood", 10_000, 0);
         shares.sent("flood", 950, ShareTier.PROMISED, 0);
-        shares.asked("small", 100, 0);
+        shares.requested("small", 100, 0);
         assertThat(shares.use("flood", 10, 1_000, 100).tier()).isNotEqualTo(ShareTier.PROMISED);
         assertThat(shares.use("small", 10, 1_000, 100).tier()).isEqualTo(ShareTier.PROMISED);
     }
@@ -61,9 +62,9 @@
     @Test
     void testObservedCapacityIsSharedFairly() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("favoured", 10_000, 0);
+        shares.requested("favoured", 10_000, 0);
         shares.sent("favoured", 3_000, ShareTier.PROMISED, 0);
-        shares.asked("refused", 10_000, 0);
+        shares.requested("refused", 10_000, 0);
         shares.sent("refused", 600, ShareTier.PROMISED, 0);
         ShareUse refused = shares.use("refused", 10, 1_000, 100);
         assertThat(refused.tier()).isEqualTo(ShareTier.OBSERVED);
@@ -74,9 +75,9 @@
     @Test
     void testUseBeyondTheShareDoesNotCountAgainstIt() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("large", 10_000, 0);
+        shares.requested("large", 10_000, 0);
         shares.sent("large", 3_000, ShareTier.BEYOND, 0);
-        shares.asked("small", 100, 0);
+        shares.requested("small", 100, 0);
         assertThat(shares.use("large", 10, 1_000, 100).tier()).isEqualTo(ShareTier.PROMISED);
         shares.sent("large", 900, ShareTier.PROMISED, 100);
         assertThat(shares.use("large", 10, 1_000, 200).tier()).isNotEqualTo(ShareTier.PROMISED);
@@ -85,7 +86,7 @@
     @Test
     void testPeerReportsCountUntilTheyExpire() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 100, 0);
+        shares.requested("a", 100, 0);
         Map<String, ShareSums> reported =
                 Map.of("a", new ShareSums(5_000, 900, 900), "b", new ShareSums(5_000, 0, 0));
         shares.peer("p", counts(reported), 0);
@@ -97,9 +98,9 @@
     @Test
     void testShareDirectlyAfterAStartIsLimitedToTheCountedTime() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("flood", 900, 0);
+        shares.requested("flood", 900, 0);
         shares.sent("flood", 400, ShareTier.PROMISED, 0);
-        shares.asked("small", 100, 0);
+        shares.requested("small", 100, 0);
         assertThat(shares.use("flood", 10, 1_000, 300).tier()).isNotEqualTo(ShareTier.PROMISED);
         assertThat(shares.use("small", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
     }
@@ -107,7 +108,7 @@
     @Test
     void testStartedGatewayUsesTheCountedTimeOfItsPeers() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 400, 0);
+        shares.requested("a", 400, 0);
         shares.sent("a", 400, ShareTier.PROMISED, 0);
         shares.peer("p", counts(Map.of("b", new ShareSums(500, 500, 500))), 0);
         assertThat(shares.use("a", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
@@ -116,18 +117,18 @@
     @Test
     void testCountedTimeRestartsAfterAPause() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 100, 0);
+        shares.requested("a", 100, 0);
         assertThat(shares.own(3_000).countedMillis()).isEqualTo(3_000);
         assertThat(shares.own(WINDOW).countedMillis()).isEqualTo(WINDOW);
-        shares.asked("a", 100, 10_000);
+        shares.requested("a", 100, 10_000);
         assertThat(shares.own(10_600).countedMillis()).isEqualTo(600);
     }
 
     @Test
     void testPromisedDemandIsAFractionOfThePromisedCapacity() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("flood", 10_000, 0);
-        shares.asked("small", 100, WINDOW);
+        shares.requested("flood", 10_000, 0);
+        shares.requested("small", 100, WINDOW);
         shares.use("small", 10, 1_000, WINDOW);
         assertThat(shares.promisedDemand()).isCloseTo(0.1, within(1e-9));
     }
@@ -135,7 +136,7 @@
     @Test
     void testUnstartedRequestIsSubtractedFromTheBucketOfItsSendTime() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 900, 0);
+        shares.requested("a", 900, 0);
         shares.sent("a", 500, ShareTier.PROMISED, 0);
         shares.sent("a", 200, ShareTier.BEYOND, 1_000);
         shares.revertSent("a", 500, ShareTier.PROMISED, 0, 1_500);
@@ -147,8 +148,8 @@
     @Test
     void testSummaryListsTheHighestDemand() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("little", 1, WINDOW);
-        shares.asked("much", 50, WINDOW);
+        shares.requested("little", 1, WINDOW);
+        shares.requested("much", 50, WINDOW);
         shares.sent("much", 20, ShareTier.BEYOND, WINDOW);
         shares.use("much", 10, 30, WINDOW);
         assertThat(shares.summary(1))
