--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -130,7 +130,7 @@
      *
      * @param request The request; it is ignored if that was recorded before.
      */
-    public void begun(RunningRequest request) {
+    public void firstEventArrived(RunningRequest request) {
         if (awaitingFirstEvent.remove(request)) {
             own = own.minus(new LoadSums(0, request.prefillTokens(), 0));
         }
@@ -142,7 +142,7 @@
      * @param request The request; it is ignored if it was removed before.
      */
     public void ended(RunningRequest request) {
-        begun(request);
+        firstEventArrived(request);
         if (running.remove(request)) {
             own = own.minus(new LoadSums(1, 0, request.memoryTokens()));
         }
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -185,7 +185,7 @@
     private void noteBegun() {
         if (!begun) {
             begun = true;
-            target.load().begun(running);
+            target.load().firstEventArrived(running);
             dispatch.firstPiece(this);
         }
     }
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -106,7 +106,7 @@
         load.peer("peer", new LoadSums(3, 30, 300), 0);
         load.peer("other", new LoadSums(1, 1, 1), 0);
         assertThat(load.all(0)).isEqualTo(new LoadSums(6, 331, 331));
-        load.begun(first);
+        load.firstEventArrived(first);
         load.peer("peer", new LoadSums(2, 0, 200), 10);
         load.peer("other", LoadSums.NONE, 10);
         assertThat(load.all(10)).isEqualTo(new LoadSums(4, 200, 230));
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -261,7 +261,7 @@
         }
 
         private void begun(Engine engine) {
-            gateway.load(engine).begun(running);
+            gateway.load(engine).firstEventArrived(running);
             if (now + NETWORK_MILLIS - demand.arrivedMillis() <= demand.objectiveMillis()) {
                 inTime++;
             } else {
