--- a/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
+++ b/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.prompt.PromptChain;
 
@@ -38,22 +38,22 @@
     static AssumedCacheEntries add(GatewayCore core, TargetLoad load, PromptChain chain) {
         List<Long> addedKeys = new ArrayList<>();
         for (int index = 0; index < chain.length(); index++) {
-            if (!load.memory().keeps(chain.key(index))) {
+            if (!load.promptCache().contains(chain.key(index))) {
                 addedKeys.add(chain.key(index));
             }
         }
         if (!addedKeys.isEmpty()) {
             core.queueCacheUpdate(load.target().life(), chain);
         }
-        load.memory().keep(chain, core.promptCacheCapacity(load));
+        load.promptCache().put(chain, core.promptCacheCapacity(load));
         return new AssumedCacheEntries(core, load, addedKeys);
     }
 
     /** Removes the added entries because the engine did not prefill the prompt. */
     void rollBack() {
         for (long key : addedKeys) {
-            if (load.memory().drop(key)) {
-                core.queueCacheUpdate(new PlacedPart(load.target().life(), key, 0));
+            if (load.promptCache().evict(key)) {
+                core.queueCacheUpdate(new CachedPartUpdate(load.target().life(), key, 0));
             }
         }
     }
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -145,7 +145,7 @@
      *     timeout.
      */
     void attemptFailed(KnownTarget target, RequestIdentity identity, Runnable verdict) {
-        if (target.load().availability().leaves() || target.connections().closed()) {
+        if (target.load().availability().isDraining() || target.connections().closed()) {
             verdict.run();
         } else {
             crashDetector.attemptFailed(target, identity.suspect(), verdict);
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.OutboundRequest;
-import org.martenwell.prompt.KeptChanges;
-import org.martenwell.prompt.KeptPart;
+import org.martenwell.prompt.CachedPart;
+import org.martenwell.prompt.CachedPartChanges;
 
 /**
  * Translation between the gateway and the headers and documents that a deployment's callers and
@@ -86,7 +86,7 @@
      * @param body The body of the target's response.
      * @return The cached parts.
      */
-    List<KeptPart> keptParts(Body body);
+    List<CachedPart> keptParts(Body body);
 
     /**
      * Builds the long-polling request for changes of a target's prompt cache.
@@ -104,7 +104,7 @@
      * @param body The body of the target's response.
      * @return The changes.
      */
-    KeptChanges keptChanges(Body body);
+    CachedPartChanges keptChanges(Body body);
 
     /**
      * Tells whether a response was produced by a target rather than corrupted in transit.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.martenwell.balance.EngineChoice;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
@@ -184,8 +184,8 @@
             return Optional.empty();
         }
         GenerationMetadata generation = metadata.generation().get();
-        PromptNeed need =
-                new PromptNeed(
+        EngineDemand need =
+                new EngineDemand(
                         organisation.orElse(""),
                         PromptChain.of(generation.model(), generation.parts()),
                         generation.promptTokens(),
@@ -423,7 +423,7 @@
         from.target()
                 .load()
                 .health()
-                .close(
+                .suspend(
                         core.now(),
                         misdirected ? MISDIRECTED_SUSPENSION_MILLIS : FULL_SUSPENSION_MILLIS);
         if (mayRetry()) {
@@ -444,7 +444,7 @@
         engines.ifPresent(EngineRouting::rollBackSent);
         if (!failure.sent()) {
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
-            from.target().load().health().notReached(core.now());
+            from.target().load().health().connectFailed(core.now());
             if (failure == ResponseFailure.REFUSED) {
                 core.harmful().targetCrashed(from.target());
             }
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -187,7 +187,7 @@
     private void noteBodyBegun() {
         if (!bodyBegun) {
             bodyBegun = true;
-            target.load().begun(running);
+            target.load().firstEventArrived(running);
             dispatch.bodyBegun(this);
         }
     }
@@ -196,7 +196,7 @@
         connection = opened;
         if (over) {
             opened.cancel();
-        } else if (!target.load().availability().open(dispatch.now())) {
+        } else if (!target.load().availability().isAvailable(dispatch.now())) {
             // While the connection opened, the target may have started to drain or to pause.
             cancel();
             dispatch.targetUnavailable(this);
--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -62,10 +62,10 @@
         AvailabilityNotice notice = dialect.notice(head, clock.millis());
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
-        if (notice.leaving() && availability.leave(NoticeSource.ANSWER, now)) {
+        if (notice.leaving() && availability.markDraining(NoticeSource.ANSWER, now)) {
             leaves(target.target().life(), NoticeSource.ANSWER);
         }
-        if (notice.restMillis() > 0 && availability.rest(notice.restMillis(), now)) {
+        if (notice.restMillis() > 0 && availability.pause(notice.restMillis(), now)) {
             log.pauseRequested(target.target().life(), notice.restMillis());
         }
     }
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.Fingerprint;
@@ -35,12 +35,12 @@
         for (TargetLoadReport each : message.loads()) {
             writer.name(each.target());
             writer.number(each.sums().requests());
-            writer.number(each.sums().unreadTokens());
+            writer.number(each.sums().prefillTokens());
             writer.number(each.sums().memoryTokens());
         }
         write(message.shares(), writer);
         writer.count(message.placed().size());
-        for (PlacedPart each : message.placed()) {
+        for (CachedPartUpdate each : message.placed()) {
             writer.name(each.target());
             writer.number(each.key());
             writer.number(each.tokens());
@@ -93,9 +93,9 @@
         writer.count(shares.sums().size());
         for (Map.Entry<String, ShareSums> each : shares.sums().entrySet()) {
             writer.name(each.getKey());
-            writer.number(Math.round(each.getValue().asked()));
-            writer.number(Math.round(each.getValue().begun()));
-            writer.number(Math.round(each.getValue().within()));
+            writer.number(Math.round(each.getValue().requested()));
+            writer.number(Math.round(each.getValue().sent()));
+            writer.number(Math.round(each.getValue().withinShare()));
         }
     }
 
@@ -137,7 +137,8 @@
                 reader.number(),
                 reader.list(each -> new TargetLoadReport(each.name(), readSums(each))),
                 readShares(reader),
-                reader.list(each -> new PlacedPart(each.name(), each.number(), each.number())),
+                reader.list(
+                        each -> new CachedPartUpdate(each.name(), each.number(), each.number())),
                 reader.list(FieldReader::name),
                 reader.list(GatewayForms::readQuarantineWord));
     }
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -21,71 +21,71 @@
 
     private final EngineChooser chooser = new EngineChooser("domain-a", new Random(1));
 
-    private final ReadingRate rate = new ReadingRate();
+    private final PrefillRate rate = new PrefillRate();
 
     private final List<TargetLoad> loads = new ArrayList<>();
 
-    private final List<TargetLoad> leaving = new ArrayList<>();
+    private final List<TargetLoad> draining = new ArrayList<>();
 
     @Test
-    void testEngineThatKeepsThePromptIsPreferred() {
+    void testEngineThatCachesThePromptIsPreferred() {
         add("one", "domain-a");
         add("two", "domain-a");
-        loads.get(1).memory().keep(chain(), 100_000);
+        loads.get(1).promptCache().put(chain(), 100_000);
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("two");
-        assertThat(choice.unreadTokens()).isEqualTo(500);
+        assertThat(choice.prefillTokens()).isEqualTo(500);
         assertThat(choice.copyFrom()).isEmpty();
     }
 
     @Test
-    void testPromptThatNobodyKeepsGoesToTheFirstByHashThoughAnotherIsLessBusy() {
+    void testUncachedPromptGoesToTheEnginePreferredByHash() {
         add("one", "domain-a");
         add("two", "domain-a");
-        PromptNeed need = new PromptNeed("o", chain(), 5_500, 100, 400, 0);
-        TargetLoad first = choose(need, ShareTier.PROMISED).orElseThrow().load();
+        EngineDemand demand = new EngineDemand("o", chain(), 5_500, 100, 400, 0);
+        TargetLoad first = choose(demand, ShareTier.PROMISED).orElseThrow().load();
         first.sent(new RunningRequest(2_000, 100, 0, 0));
-        assertThat(choose(need, ShareTier.PROMISED).orElseThrow().load()).isSameAs(first);
+        assertThat(choose(demand, ShareTier.PROMISED).orElseThrow().load()).isSameAs(first);
         first.sent(new RunningRequest(8_000, 100, 0, 0));
-        assertThat(choose(need, ShareTier.PROMISED).orElseThrow().load()).isNotSameAs(first);
+        assertThat(choose(demand, ShareTier.PROMISED).orElseThrow().load()).isNotSameAs(first);
     }
 
     @Test
-    void testEngineCopiesFromTheOneThatKeepsMostUnlessItKeepsAsMuch() {
+    void testSourceOfACopyIsTheEngineWithTheMostCachedTokens() {
         add("one", "domain-a");
         add("two", "domain-a");
-        loads.get(1).memory().keep(chain(), 100_000);
-        PromptKeepers keepers = PromptKeepers.of(chain(), loads, leaving);
-        assertThat(keepers.source(loads.get(0))).contains(loads.get(1));
-        assertThat(keepers.source(loads.get(1))).isEmpty();
+        loads.get(1).promptCache().put(chain(), 100_000);
+        PromptCacheLookup cacheLookup = PromptCacheLookup.of(chain(), loads, draining);
+        assertThat(cacheLookup.source(loads.get(0))).contains(loads.get(1));
+        assertThat(cacheLookup.source(loads.get(1))).isEmpty();
     }
 
     @Test
-    void testBusyKeeperHandsThePromptOver() {
+    void testCachedPartsAreCopiedFromABusyEngine() {
         add("one", "domain-a");
         add("two", "domain-a");
-        loads.get(1).memory().keep(chain(), 100_000);
+        loads.get(1).promptCache().put(chain(), 100_000);
         loads.get(1).sent(new RunningRequest(20_000, 20_000, 0, 0));
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
         assertThat(choice.copyFrom()).contains(loads.get(1));
-        assertThat(choice.unreadTokens()).isEqualTo(500);
+        assertThat(choice.prefillTokens()).isEqualTo(500);
     }
 
     @Test
-    void testLeavingEngineHandsThePromptOverAndIsNotChosen() {
+    void testDrainingEngineIsOnlyASourceOfCopies() {
         add("one", "domain-a");
         add("two", "domain-a");
-        leaving.add(loads.remove(1));
-        leaving.get(0).memory().keep(chain(), 100_000);
+        draining.add(loads.remove(1));
+        draining.get(0).promptCache().put(chain(), 100_000);
         EngineChoice choice = choose(ShareTier.PROMISED).orElseThrow();
         assertThat(choice.load().target().id()).isEqualTo("one");
-        assertThat(choice.copyFrom()).contains(leaving.get(0));
-        assertThat(choice.unreadTokens()).isEqualTo(500);
+        assertThat(choice.copyFrom()).contains(draining.get(0));
+        assertThat(choice.prefillTokens()).isEqualTo(500);
     }
 
     @Test
-    void testRequestsOfPeersFillPlaces() {
+    void testRequestsOfPeersOccupySlots() {
         add("one", "domain-a");
         loads.get(0).peer("peer", new LoadSums(10, 0, 0), 0);
         assertThat(choose(ShareTier.PROMISED)).isEmpty();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void testSumsFollowRequestsAndWordsOfPeers() {
+    void testLoadIncludesReportsOfPeers() {
         add("one", "domain-a");
         TargetLoad load = loads.get(0);
         RunningRequest first = new RunningRequest(100, 10, 0, 0);
@@ -106,7 +106,7 @@
         load.peer("peer", new LoadSums(3, 30, 300), 0);
         load.peer("other", new LoadSums(1, 1, 1), 0);
         assertThat(load.all(0)).isEqualTo(new LoadSums(6, 331, 331));
-        load.begun(first);
+        load.firstEventArrived(first);
         load.peer("peer", new LoadSums(2, 0, 200), 10);
         load.peer("other", LoadSums.NONE, 10);
         assertThat(load.all(10)).isEqualTo(new LoadSums(4, 200, 230));
@@ -118,14 +118,14 @@
     }
 
     @Test
-    void testOldWordOfAPeerIsForgotten() {
+    void testReportOfAPeerExpires() {
         add("one", "domain-a");
         loads.get(0).peer("peer", new LoadSums(10, 0, 0), -5_000);
         assertThat(choose(ShareTier.PROMISED)).isPresent();
     }
 
     @Test
-    void testEngineWithABacklogOrWithoutMemoryHasNoRoom() {
+    void testEngineWithABacklogOrWithoutMemoryHasNoCapacity() {
         add("one", "domain-a");
         loads.get(0).sent(new RunningRequest(80_000, 0, 0, 0));
         assertThat(choose(ShareTier.PROMISED)).isEmpty();
@@ -136,32 +136,33 @@
     }
 
     @Test
-    void testRequestLargerThanTheMemoryOfABusyEngineIsTriedAtAnEmptyOne() {
+    void testRequestBeyondTheMemoryLimitIsSentToAnIdleEngine() {
         add("one", "domain-a");
-        PromptNeed huge = new PromptNeed("o", PromptChain.EMPTY, 200_000, 10, 100_000, 0);
+        EngineDemand huge = new EngineDemand("o", PromptChain.EMPTY, 200_000, 10, 100_000, 0);
         assertThat(choose(huge, ShareTier.PROMISED)).isPresent();
     }
 
     @Test
-    void testEngineThatReadsTooLongIsNoChoiceThoughItMayHaveRoom() {
+    void testEngineWithTooLongAPrefillIsNotChosen() {
         add("one", "domain-a");
         loads.get(0).sent(new RunningRequest(20_000, 0, 0, 0));
-        PromptNeed small = new PromptNeed("o", PromptChain.EMPTY, 10, 10, 400, 0);
-        PromptNeed large = new PromptNeed("o", PromptChain.EMPTY, 30_000, 10, 400, 0);
+        EngineDemand small = new EngineDemand("o", PromptChain.EMPTY, 10, 10, 400, 0);
+        EngineDemand large = new EngineDemand("o", PromptChain.EMPTY, 30_000, 10, 400, 0);
         assertThat(choose(small, ShareTier.PROMISED)).isPresent();
-        assertThat(chooser.withRoom(large, ShareTier.PROMISED, loads, TERMS, rate, 0)).hasSize(1);
+        assertThat(chooser.withCapacity(large, ShareTier.PROMISED, loads, TERMS, rate, 0))
+                .hasSize(1);
         assertThat(choose(large, ShareTier.PROMISED)).isEmpty();
     }
 
     private Optional<EngineChoice> choose(ShareTier tier) {
-        PromptNeed need = new PromptNeed("o", chain(), 5_500, 100, 400, 0);
-        return choose(need, tier);
+        EngineDemand demand = new EngineDemand("o", chain(), 5_500, 100, 400, 0);
+        return choose(demand, tier);
     }
 
-    private Optional<EngineChoice> choose(PromptNeed need, ShareTier tier) {
-        List<TargetLoad> candidates = chooser.withRoom(need, tier, loads, TERMS, rate, 0);
-        PromptKeepers keepers = PromptKeepers.of(need.chain(), loads, leaving);
-        return chooser.choose(need, tier, candidates, keepers, TERMS, rate, 0, 0);
+    private Optional<EngineChoice> choose(EngineDemand demand, ShareTier tier) {
+        List<TargetLoad> candidates = chooser.withCapacity(demand, tier, loads, TERMS, rate, 0);
+        PromptCacheLookup cacheLookup = PromptCacheLookup.of(demand.chain(), loads, draining);
+        return chooser.choose(demand, tier, candidates, cacheLookup, TERMS, rate, 0, 0);
     }
 
     private static PromptChain chain() {
--- a/src/test/java/org/martenwell/balance/TargetHealthTest.java
+++ b/src/test/java/org/martenwell/balance/TargetHealthTest.java
@@ -7,50 +7,50 @@
 class TargetHealthTest {
 
     @Test
-    void testFailuresInARowCloseForATimeThatDoubles() {
+    void testConsecutiveFailuresSuspendForATimeThatDoubles() {
         TargetHealth health = new TargetHealth();
         health.failed(0);
         health.failed(0);
-        assertThat(health.open(0)).isTrue();
+        assertThat(health.isAvailable(0)).isTrue();
         health.failed(0);
-        assertThat(health.open(399)).isFalse();
-        assertThat(health.open(400)).isTrue();
+        assertThat(health.isAvailable(399)).isFalse();
+        assertThat(health.isAvailable(400)).isTrue();
         health.failed(400);
-        assertThat(health.open(1_199)).isFalse();
-        assertThat(health.open(1_200)).isTrue();
+        assertThat(health.isAvailable(1_199)).isFalse();
+        assertThat(health.isAvailable(1_200)).isTrue();
     }
 
     @Test
-    void testTargetThatWasNotReachedIsClosedAtOnce() {
+    void testFailureToConnectSuspendsImmediately() {
         TargetHealth health = new TargetHealth();
-        health.notReached(0);
-        assertThat(health.open(399)).isFalse();
-        assertThat(health.open(400)).isTrue();
-        health.notReached(400);
-        assertThat(health.open(1_199)).isFalse();
+        health.connectFailed(0);
+        assertThat(health.isAvailable(399)).isFalse();
+        assertThat(health.isAvailable(400)).isTrue();
+        health.connectFailed(400);
+        assertThat(health.isAvailable(1_199)).isFalse();
         health.succeeded(1_200);
         health.failed(1_200);
-        assertThat(health.open(1_200)).isTrue();
+        assertThat(health.isAvailable(1_200)).isTrue();
     }
 
     @Test
-    void testGoodAnswerOpens() {
+    void testSuccessEndsTheSuspension() {
         TargetHealth health = new TargetHealth();
         for (int count = 0; count < 50; count++) {
             health.failed(0);
         }
-        assertThat(health.open(3_199)).isFalse();
+        assertThat(health.isAvailable(3_199)).isFalse();
         health.succeeded(1);
-        assertThat(health.open(1)).isTrue();
+        assertThat(health.isAvailable(1)).isTrue();
     }
 
     @Test
-    void testShareOfFailuresFallsWithTimeAndSuccess() {
+    void testFailureRateFallsWithTimeAndSuccess() {
         TargetHealth health = new TargetHealth();
         health.failed(0);
-        double first = health.failureShare(0);
-        assertThat(health.failureShare(3_000)).isLessThan(first / 2);
+        double first = health.failureRate(0);
+        assertThat(health.failureRate(3_000)).isLessThan(first / 2);
         health.succeeded(0);
-        assertThat(health.failureShare(0)).isLessThan(first);
+        assertThat(health.failureRate(0)).isLessThan(first);
     }
 }
--- a/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
+++ b/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
@@ -43,13 +43,14 @@
     @Test
     void testAddedEntriesAreRolledBackAndReported() {
         core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
-        load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
+        load.promptCache().put(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
         AssumedCacheEntries entries = AssumedCacheEntries.add(core, load, chain);
-        assertThat(load.memory().keptTokens(chain)).isEqualTo(300);
+        assertThat(load.promptCache().cachedTokens(chain)).isEqualTo(300);
         core.takeCacheUpdates();
         entries.rollBack();
-        assertThat(load.memory().keptTokens(chain)).isEqualTo(100);
+        assertThat(load.promptCache().cachedTokens(chain)).isEqualTo(100);
         assertThat(core.takeCacheUpdates())
-                .containsExactly(new PlacedPart("t@1", PromptChain.key("m", SPECIAL.id()), 0));
+                .containsExactly(
+                        new CachedPartUpdate("t@1", PromptChain.key("m", SPECIAL.id()), 0));
     }
 }
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.martenwell.balance.EngineChoice;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
@@ -50,7 +50,7 @@
     private final EngineRouting routing =
             new EngineRouting(
                     core,
-                    new PromptNeed("o", chain, 5_009, 10, 400, core.now()),
+                    new EngineDemand("o", chain, 5_009, 10, 400, core.now()),
                     TERMS,
                     GatewayCores.SERVICE);
 
@@ -68,11 +68,11 @@
     void testRetryWithoutCapacityCopiesCachedPrompt() {
         fill(loads.get(0), SLOTS);
         fill(loads.get(1), SLOTS + 1);
-        loads.get(1).memory().keep(chain, 100_000);
+        loads.get(1).promptCache().put(chain, 100_000);
         EngineChoice choice = routing.decide(loads, 1, null).choice().orElseThrow();
         assertThat(choice.load()).isSameAs(loads.get(0));
         assertThat(choice.copyFrom()).contains(loads.get(1));
-        assertThat(choice.unreadTokens()).isEqualTo(9);
+        assertThat(choice.prefillTokens()).isEqualTo(9);
     }
 
     @Test
@@ -90,11 +90,11 @@
     void testCacheEntriesAreRolledBackOnlyBeforeResponseStart() {
         routing.recordSent(choice(loads.get(0)));
         routing.rollBackSent();
-        assertThat(loads.get(0).memory().keptTokens(chain)).isZero();
+        assertThat(loads.get(0).promptCache().cachedTokens(chain)).isZero();
         routing.recordSent(choice(loads.get(0)));
         routing.recordResponseStart(new RunningRequest(5_009, 10, core.now(), 0));
         routing.rollBackSent();
-        assertThat(loads.get(0).memory().keptTokens(chain)).isEqualTo(5_000);
+        assertThat(loads.get(0).promptCache().cachedTokens(chain)).isEqualTo(5_000);
     }
 
     /** Guards against charging the organisation once for each unreachable engine. */
@@ -132,8 +132,8 @@
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
         exceedPromisedShare();
         EngineChoice beyond = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
-        List<TargetLoad> spare = core.reserve().spare(loads, core.tokensWithinShares());
-        assertThat(spare).containsExactly(beyond.load());
+        List<TargetLoad> unreserved = core.reserve().unreserved(loads, core.tokensWithinShares());
+        assertThat(unreserved).containsExactly(beyond.load());
         fill(beyond.load(), SLOTS);
         TargetLoad reserved = loads.get(loads.indexOf(beyond.load()) == 0 ? 1 : 0);
         fill(reserved, 1);
@@ -144,11 +144,11 @@
     void testRequestBeyondPromisedShareUsesIdleReservedEngine() {
         core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
         exceedPromisedShare();
-        EngineChoice spare = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
-        fill(spare.load(), SLOTS);
+        EngineChoice unreserved = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
+        fill(unreserved.load(), SLOTS);
         EngineRouting.Decision decision = routing.decide(loads, 0, GatewayCores.route(400));
         assertThat(decision.use().tier()).isEqualTo(ShareTier.OBSERVED);
-        assertThat(decision.choice().get().load()).isNotSameAs(spare.load());
+        assertThat(decision.choice().get().load()).isNotSameAs(unreserved.load());
     }
 
     @Test
@@ -165,13 +165,13 @@
     /** Returns the organisation's charged tokens as reported to peers. */
     private double chargedTokens() {
         ShareSums sums = core.shares().own(core.now()).sums().get("o");
-        return sums == null ? 0 : sums.begun();
+        return sums == null ? 0 : sums.sent();
     }
 
     /** Makes the organisation use more than the promised capacity of the fleet. */
     private void exceedPromisedShare() {
-        core.shares().asked("o", 10 * PROMISED_TOKENS, core.now());
-        core.shares().begun("o", 10 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
+        core.shares().requested("o", 10 * PROMISED_TOKENS, core.now());
+        core.shares().sent("o", 10 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
     }
 
     private static void fill(TargetLoad load, int requests) {
--- a/src/test/java/org/martenwell/gateway/ReportBuilderTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportBuilderTest.java
@@ -30,14 +30,14 @@
 
     @Test
     void testEachReportInASmallFleetIncludesShares() {
-        core.shares().asked("o", 10, core.now());
+        core.shares().requested("o", 10, core.now());
         assertThat(reportBuilder.next(false).shares().sums()).hasSize(1);
         assertThat(reportBuilder.next(false).shares().sums()).hasSize(1);
     }
 
     @Test
     void testSomeReportsInALargeFleetIncludeShares() {
-        core.shares().asked("o", 10, core.now());
+        core.shares().requested("o", 10, core.now());
         assertThat(reportBuilder.next(true).shares().sums()).hasSize(1);
         assertThat(reportBuilder.next(true).shares().sums()).isEmpty();
         advanceClock(LATER_MILLIS);
@@ -48,8 +48,8 @@
     void testReportWithoutSharesKeepsThoseOfTheLastOne() {
         GatewayCore peer = GatewayCores.of(loop);
         ReportReceiver receiver = new ReportReceiver(peer);
-        core.shares().asked("o", 1_000, core.now());
-        core.shares().begun("o", 1_000, ShareTier.PROMISED, core.now());
+        core.shares().requested("o", 1_000, core.now());
+        core.shares().sent("o", 1_000, ShareTier.PROMISED, core.now());
         GatewayReport first = reportBuilder.next(true);
         receiver.apply(first);
         receiver.apply(reportBuilder.next(true));
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -106,11 +106,11 @@
         List<String> incarnations = everKnown.keySet().stream().sorted().toList();
         String incarnation = incarnations.get(random.nextInt(incarnations.size()));
         if (random.nextInt(4) == 0) {
-            everKnown.get(incarnation).availability().leave(NoticeSource.ANSWER, now);
+            everKnown.get(incarnation).availability().markDraining(NoticeSource.ANSWER, now);
             draining.add(incarnation);
         } else {
             long millis = random.nextInt(4_000);
-            everKnown.get(incarnation).availability().rest(millis, now);
+            everKnown.get(incarnation).availability().pause(millis, now);
             pausedUntil.merge(incarnation, now + millis, Math::max);
         }
     }
--- a/src/test/java/org/martenwell/share/FairSharesTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesTest.java
@@ -17,27 +17,28 @@
     private static final long WINDOW = 4_000;
 
     @Property(tries = 500, seed = "21")
-    void testLevelSharesOutTheCapacityAndNoMore(
-            @ForAll @Size(min = 1, max = 20) List<@DoubleRange(min = 0, max = 1_000) Double> asked,
+    void testLevelAllocatesExactlyTheCapacity(
+            @ForAll @Size(min = 1, max = 20)
+                    List<@DoubleRange(min = 0, max = 1_000) Double> requested,
             @ForAll @DoubleRange(min = 1, max = 5_000) double capacity) {
         Map<String, Double> demands = new HashMap<>();
-        asked.forEach(each -> demands.put("o" + demands.size(), each));
-        double level = MaxMin.level(demands, capacity);
-        double total = asked.stream().mapToDouble(Double::doubleValue).sum();
-        double given = asked.stream().mapToDouble(each -> Math.min(each, level)).sum();
+        requested.forEach(each -> demands.put("o" + demands.size(), each));
+        double level = MaxMinFairness.level(demands, capacity);
+        double total = requested.stream().mapToDouble(Double::doubleValue).sum();
+        double given = requested.stream().mapToDouble(each -> Math.min(each, level)).sum();
         assertThat(given).isCloseTo(Math.min(total, capacity), within(1e-6 * (1 + total)));
     }
 
     @Test
-    void testNobodyExceedsItsShareWhileAllDemandsCanBeMet() {
+    void testNoShareIsExceededWhileAllDemandsAreMet() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 900, 0);
-        shares.begun("a", 900, ShareTier.PROMISED, 0);
+        shares.requested("a", 900, 0);
+        shares.sent("a", 900, ShareTier.PROMISED, 0);
         assertThat(shares.use("a", 10, 1_000, 3_900).tier()).isEqualTo(ShareTier.PROMISED);
     }
 
     @Test
-    void testManyPeersAreSummedUpLessOften() {
+    void testRefreshIntervalGrowsWithTheNumberOfPeers() {
         FairShares shares = new FairShares(WINDOW);
         for (int peer = 0; peer < 60; peer++) {
             shares.peer("p" + peer, counts(Map.of("o", new ShareSums(100, 10, 10))), 0);
@@ -51,115 +52,112 @@
     @Test
     void testFloodingOrganisationIsBeyondItsShareAndOthersAreNot() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("flood", 10_000, 0);
-        shares.begun("flood", 950, ShareTier.PROMISED, 0);
-        shares.asked("small", 100, 0);
+        shares.requested("flood", 10_000, 0);
+        shares.sent("flood", 950, ShareTier.PROMISED, 0);
+        shares.requested("small", 100, 0);
         assertThat(shares.use("flood", 10, 1_000, 100).tier()).isNotEqualTo(ShareTier.PROMISED);
         assertThat(shares.use("small", 10, 1_000, 100).tier()).isEqualTo(ShareTier.PROMISED);
     }
 
     @Test
-    void testWhatIsProducedBeyondThePromiseIsSharedFairlyToo() {
+    void testObservedCapacityIsSharedFairly() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("lucky", 10_000, 0);
-        shares.begun("lucky", 3_000, ShareTier.PROMISED, 0);
-        shares.asked("refused", 10_000, 0);
-        shares.begun("refused", 600, ShareTier.PROMISED, 0);
+        shares.requested("favoured", 10_000, 0);
+        shares.sent("favoured", 3_000, ShareTier.PROMISED, 0);
+        shares.requested("refused", 10_000, 0);
+        shares.sent("refused", 600, ShareTier.PROMISED, 0);
         ShareUse refused = shares.use("refused", 10, 1_000, 100);
         assertThat(refused.tier()).isEqualTo(ShareTier.OBSERVED);
-        assertThat(shares.use("lucky", 10, 1_000, 100).tier()).isEqualTo(ShareTier.BEYOND);
+        assertThat(shares.use("favoured", 10, 1_000, 100).tier()).isEqualTo(ShareTier.BEYOND);
     }
 
-    /**
-     * The largest organisation paid later for what it got while there was room: it was refused
-     * within its share for the rest of the window.
-     */
+    /** Guards against refusals within the share after an organisation has used idle capacity. */
     @Test
-    void testWhatWasTakenBeyondTheShareDoesNotCountAgainstIt() {
+    void testUseBeyondTheShareDoesNotCountAgainstIt() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("large", 10_000, 0);
-        shares.begun("large", 3_000, ShareTier.BEYOND, 0);
-        shares.asked("small", 100, 0);
+        shares.requested("large", 10_000, 0);
+        shares.sent("large", 3_000, ShareTier.BEYOND, 0);
+        shares.requested("small", 100, 0);
         assertThat(shares.use("large", 10, 1_000, 100).tier()).isEqualTo(ShareTier.PROMISED);
-        shares.begun("large", 900, ShareTier.PROMISED, 100);
+        shares.sent("large", 900, ShareTier.PROMISED, 100);
         assertThat(shares.use("large", 10, 1_000, 200).tier()).isNotEqualTo(ShareTier.PROMISED);
     }
 
     @Test
-    void testPeersCountAndAreForgotten() {
+    void testPeerReportsCountUntilTheyExpire() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 100, 0);
-        Map<String, ShareSums> told =
+        shares.requested("a", 100, 0);
+        Map<String, ShareSums> reported =
                 Map.of("a", new ShareSums(5_000, 900, 900), "b", new ShareSums(5_000, 0, 0));
-        shares.peer("p", counts(told), 0);
+        shares.peer("p", counts(reported), 0);
         assertThat(shares.use("a", 10, 1_000, 100).promised()).isGreaterThan(1);
         assertThat(shares.use("a", 10, 1_000, 3_000).promised()).isLessThan(1);
     }
 
-    /** The first second behind a start let a flood take what was meant for the whole window. */
+    /** Guards against one organisation using a whole window's capacity directly after a start. */
     @Test
-    void testFloodOfAFleetThatHasJustStartedIsBeyondItsShare() {
+    void testShareDirectlyAfterAStartIsLimitedToTheCountedTime() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("flood", 900, 0);
-        shares.begun("flood", 400, ShareTier.PROMISED, 0);
-        shares.asked("small", 100, 0);
+        shares.requested("flood", 900, 0);
+        shares.sent("flood", 400, ShareTier.PROMISED, 0);
+        shares.requested("small", 100, 0);
         assertThat(shares.use("flood", 10, 1_000, 300).tier()).isNotEqualTo(ShareTier.PROMISED);
         assertThat(shares.use("small", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
     }
 
     @Test
-    void testGatewayThatHasJustStartedGoesByWhatItsPeersHaveCounted() {
+    void testStartedGatewayUsesTheCountedTimeOfItsPeers() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 400, 0);
-        shares.begun("a", 400, ShareTier.PROMISED, 0);
+        shares.requested("a", 400, 0);
+        shares.sent("a", 400, ShareTier.PROMISED, 0);
         shares.peer("p", counts(Map.of("b", new ShareSums(500, 500, 500))), 0);
         assertThat(shares.use("a", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
     }
 
     @Test
-    void testCountingBeginsAnewBehindAPause() {
+    void testCountedTimeRestartsAfterAPause() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 100, 0);
+        shares.requested("a", 100, 0);
         assertThat(shares.own(3_000).countedMillis()).isEqualTo(3_000);
         assertThat(shares.own(WINDOW).countedMillis()).isEqualTo(WINDOW);
-        shares.asked("a", 100, 10_000);
+        shares.requested("a", 100, 10_000);
         assertThat(shares.own(10_600).countedMillis()).isEqualTo(600);
     }
 
     @Test
-    void testAskedWithinIsThePartOfThePromiseThatFairSharesTake() {
+    void testPromisedDemandIsAFractionOfThePromisedCapacity() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("flood", 10_000, 0);
-        shares.asked("small", 100, WINDOW);
+        shares.requested("flood", 10_000, 0);
+        shares.requested("small", 100, WINDOW);
         shares.use("small", 10, 1_000, WINDOW);
-        assertThat(shares.askedWithin()).isCloseTo(0.1, within(1e-9));
+        assertThat(shares.promisedDemand()).isCloseTo(0.1, within(1e-9));
     }
 
     @Test
-    void testWhatNoTargetBeganIsTakenBackFromWhenItWasSent() {
+    void testUnstartedRequestIsSubtractedFromTheBucketOfItsSendTime() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("a", 900, 0);
-        shares.begun("a", 500, ShareTier.PROMISED, 0);
-        shares.begun("a", 200, ShareTier.BEYOND, 1_000);
-        shares.notBegun("a", 500, ShareTier.PROMISED, 0, 1_500);
+        shares.requested("a", 900, 0);
+        shares.sent("a", 500, ShareTier.PROMISED, 0);
+        shares.sent("a", 200, ShareTier.BEYOND, 1_000);
+        shares.revertSent("a", 500, ShareTier.PROMISED, 0, 1_500);
         assertThat(shares.own(1_500).sums().get("a")).isEqualTo(new ShareSums(900, 200, 0));
-        shares.notBegun("a", 200, ShareTier.BEYOND, 1_000, 9_000);
+        shares.revertSent("a", 200, ShareTier.BEYOND, 1_000, 9_000);
         assertThat(shares.own(9_000).sums()).isEmpty();
     }
 
     @Test
-    void testSummaryTellsOfThoseThatAskMost() {
+    void testSummaryListsTheHighestDemand() {
         FairShares shares = new FairShares(WINDOW);
-        shares.asked("little", 1, WINDOW);
-        shares.asked("much", 50, WINDOW);
-        shares.begun("much", 20, ShareTier.BEYOND, WINDOW);
+        shares.requested("little", 1, WINDOW);
+        shares.requested("much", 50, WINDOW);
+        shares.sent("much", 20, ShareTier.BEYOND, WINDOW);
         shares.use("much", 10, 30, WINDOW);
         assertThat(shares.summary(1))
                 .hasToString("level 3, observed 19, produced 20, much asked 50 got 20 within 0");
     }
 
     @Test
-    void testSumsSlide() {
+    void testExpiredBucketsAreCleared() {
         SlidingSum sum = new SlidingSum(1_600);
         sum.add(5, 0);
         sum.add(7, 1_000);
@@ -168,7 +166,7 @@
         assertThat(sum.sum(10_000)).isZero();
     }
 
-    /** Returns what a peer tells that has counted for a whole window. */
+    /** Returns the counts of a peer that cover a whole window. */
     private static ShareCounts counts(Map<String, ShareSums> sums) {
         return new ShareCounts(WINDOW, sums);
     }
