--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -50,7 +50,7 @@
     private final Set<Fingerprint> held = new HashSet<>();
 
     /** What peers are to be told. */
-    private final QuarantineNews news = new QuarantineNews();
+    private final UpdateQueue news = new UpdateQueue();
 
     /** Creates a quarantine that knows of no request. */
     public Quarantine() {}
--- a/src/main/java/org/martenwell/quarantine/QuarantineNews.java
+++ b/src/main/java/org/martenwell/quarantine/UpdateQueue.java
@@ -9,7 +9,7 @@
  * What peers are still to be told. Each word is told several times, so that a report that is lost
  * with its connection does no harm.
  */
-final class QuarantineNews {
+final class UpdateQueue {
 
     /** After how long a word is told again, in milliseconds, the first time at once. */
     private static final long[] TOLD_AFTER_MILLIS = {0, 500, 2_000};
@@ -29,7 +29,7 @@
     private record Due(QuarantineWord word, long learntMillis) {}
 
     /** Creates news of which there are none. */
-    QuarantineNews() {
+    UpdateQueue() {
         for (int told = 0; told < TOLD_AFTER_MILLIS.length; told++) {
             due.add(new ArrayDeque<>());
         }
