--- a/src/main/java/org/martenwell/quarantine/Fingerprint.java
+++ b/src/main/java/org/martenwell/quarantine/Fingerprint.java
@@ -4,39 +4,40 @@
 import java.util.Optional;
 
 /**
- * What makes two requests the same, whatever id each of them has.
+ * Hashes that identify a request by its content. Repeated submissions of the same request have
+ * equal fingerprints, whatever their request ids.
  *
- * @param scope The hash of the method, route's host, path with query and organisation.
+ * @param scope The hash of the method, the route's host, the path with its query and the
+ *     organisation.
  * @param content The hash of the scope and the body.
  */
 public record Fingerprint(long scope, long content) {
 
-    /** How many hexadecimal digits a hash has. */
-    private static final int DIGITS = 16;
+    /** The number of hexadecimal digits of a hash. */
+    private static final int HASH_DIGITS = 16;
 
-    /** Writes and reads hashes. */
     private static final HexFormat HEX = HexFormat.of();
 
     /**
-     * Reads a fingerprint.
+     * Parses the form written by {@link #toString()}.
      *
-     * @param text Its text.
-     * @return The fingerprint or empty if the text is none.
+     * @param text The text to parse.
+     * @return The fingerprint, empty if the text isn't 32 hexadecimal digits.
      */
     public static Optional<Fingerprint> parse(String text) {
-        if (text.length() != 2 * DIGITS || !text.chars().allMatch(HexFormat::isHexDigit)) {
+        if (text.length() != 2 * HASH_DIGITS || !text.chars().allMatch(HexFormat::isHexDigit)) {
             return Optional.empty();
         }
         return Optional.of(
                 new Fingerprint(
-                        HexFormat.fromHexDigitsToLong(text, 0, DIGITS),
-                        HexFormat.fromHexDigitsToLong(text, DIGITS, 2 * DIGITS)));
+                        HexFormat.fromHexDigitsToLong(text, 0, HASH_DIGITS),
+                        HexFormat.fromHexDigitsToLong(text, HASH_DIGITS, 2 * HASH_DIGITS)));
     }
 
     /**
-     * Returns the fingerprint as text.
+     * Returns the fingerprint in hexadecimal.
      *
-     * @return 32 hexadecimal digits, those of the scope first.
+     * @return The 16 digits of the scope followed by the 16 digits of the content.
      */
     @Override
     public String toString() {
--- a/src/main/java/org/martenwell/quarantine/FingerprintFunction.java
+++ b/src/main/java/org/martenwell/quarantine/FingerprintFunction.java
@@ -5,37 +5,38 @@
 import org.martenwell.hash.KeyedHash;
 
 /**
- * Computes fingerprints by SipHash-2-4 with a key of the fleet's. All gateways of a fleet get the
- * same ones, and no caller can make a request that is taken for another caller's.
+ * Computes fingerprints by SipHash-2-4 with a key shared by the fleet. All gateways compute the
+ * same fingerprint for a request, and a caller without the key can't construct a collision with
+ * another caller's request.
  */
 public final class FingerprintFunction {
 
-    /** Keeps fingerprints apart from other uses of the fleet's key. */
-    private static final String PURPOSE = "fingerprint of a request";
+    /** Derives a key for fingerprints, distinct from other uses of the fleet's key. */
+    private static final String KEY_PURPOSE = "fingerprint of a request";
 
-    /** Separates the parts of a scope; none of them can hold it. */
+    /** Separates the parts of a scope, none of which can contain a line feed. */
     private static final char SEPARATOR = '\n';
 
-    /** The keyed function. */
     private final HashFunction function;
 
     /**
-     * Creates a function.
+     * Creates a function from the fleet's key.
      *
-     * @param fleetKey The key that the gateways share.
+     * @param fleetKey The key that all gateways share.
      */
     public FingerprintFunction(String fleetKey) {
-        this.function = KeyedHash.of(fleetKey + SEPARATOR + PURPOSE);
+        this.function = KeyedHash.of(fleetKey + SEPARATOR + KEY_PURPOSE);
     }
 
     /**
-     * Computes the part of a fingerprint that the body does not change.
+     * Computes the hash of everything but the body, so that a request can be looked up before its
+     * body is hashed.
      *
-     * @param method The method.
+     * @param method The HTTP method.
      * @param host The host of the route.
      * @param target The path with its query.
-     * @param organisation The caller's organisation, empty where callers have no keys.
-     * @return The hash.
+     * @param organisation The caller's organisation, empty on routes without API keys.
+     * @return The scope of the fingerprint.
      */
     public long scope(String method, String host, String target, String organisation) {
         String all = method + SEPARATOR + host + SEPARATOR + target + SEPARATOR + organisation;
@@ -45,8 +46,8 @@
     /**
      * Computes a fingerprint.
      *
-     * @param scope Its part that the body does not change.
-     * @param body The whole body.
+     * @param scope The scope, as returned by {@link #scope}.
+     * @param body The complete body.
      * @return The fingerprint.
      */
     public Fingerprint of(long scope, byte[] body) {
--- a/src/main/java/org/martenwell/quarantine/HeldRequest.java
+++ b/src/main/java/org/martenwell/quarantine/HeldRequest.java
@@ -3,13 +3,15 @@
 import java.util.Set;
 
 /**
- * A request that is held back, as the directory keeps it.
+ * A quarantined request as stored in the directory.
  *
- * @param fingerprint What makes a request the same.
- * @param summary What operators are told of it.
- * @param lives The lives of targets that ended while they had it.
- * @param gateway The name of the gateway that made it known.
- * @param sinceMillis Since when it is held back, in milliseconds since 1970.
+ * @param fingerprint The fingerprint of the request.
+ * @param summary The description shown to operators.
+ * @param lives The incarnations of targets that crashed while running the request; for operators
+ *     only.
+ * @param gateway The name of the gateway that stored the entry.
+ * @param sinceMillis The time at which the request was quarantined, in milliseconds since the Unix
+ *     epoch.
  */
 public record HeldRequest(
         Fingerprint fingerprint,
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -10,101 +10,104 @@
 import java.util.Set;
 
 /**
- * Holds back requests under which targets ended. What speaks against a request comes from this
- * gateway, from peers and from what was decided before, and is the same in whichever order it
- * comes.
+ * Quarantine of requests that crash targets. Evidence comes from this gateway, from peers and from
+ * the directory; the decisions don't depend on the order in which it arrives.
+ *
+ * <p>A crash is any unplanned end of a target's process. A target that restarts is a new
+ * incarnation, which can crash again.
  */
 public final class Quarantine {
 
     /**
-     * How long a request is held back, in milliseconds. It may then end three targets again; in an
-     * hour operators can mend or replace what it ends.
+     * The time for which a request is quarantined, in milliseconds. Afterwards it can crash three
+     * more targets, so operators need time to fix or replace what it crashes.
      */
     public static final long HELD_MILLIS = 3_600_000;
 
     /**
-     * How many requests are kept in mind at most. A crash of a sixth of 62 engines with 48 requests
-     * each leaves some 500 suspected.
+     * The most requests tracked. A crash of a sixth of 62 engines that run 48 requests each leaves
+     * about 500 suspected ones.
      */
     private static final int MAX_REQUESTS = 4_096;
 
     /**
-     * Of how many targets that ended a peer which knows nothing is told at most; a word takes some
-     * 40 bytes, and connections to many peers open at once.
+     * The most crashes in the snapshot for a new peer. Each takes about 40 bytes, and connections
+     * to many peers open at once.
      */
-    private static final int MAX_TOLD = 1_024;
+    private static final int MAX_SNAPSHOT_CRASHES = 1_024;
 
-    /** How long a suspected request is kept in mind, in milliseconds. */
-    private static final long SUSPECTED_MILLIS = 600_000;
+    /** The time for which an unchanged, suspected request is tracked, in milliseconds. */
+    private static final long SUSPICION_TTL_MILLIS = 600_000;
 
-    /** What is known of requests, the longest unchanged first. */
-    private final Map<Fingerprint, Suspicion> requests = new LinkedHashMap<>();
+    /** The tracked requests, least recently changed first. */
+    private final Map<Fingerprint, Suspicion> suspicions = new LinkedHashMap<>();
 
-    /** How many of them each scope has. */
-    private final Map<Long, Integer> scopes = new HashMap<>();
+    /** The number of tracked requests of each scope. */
+    private final Map<Long, Integer> scopeCounts = new HashMap<>();
 
-    /** The requests that are undecided. */
+    /** The requests in the state {@link QuarantineState#UNDECIDED}. */
     private final Set<Fingerprint> undecided = new HashSet<>();
 
-    /** The requests that are held back. */
+    /** The requests in the state {@link QuarantineState#HELD}. */
     private final Set<Fingerprint> held = new HashSet<>();
 
-    /** What peers are to be told. */
-    private final UpdateQueue news = new UpdateQueue();
+    /** The updates to send to peers. */
+    private final UpdateQueue updates = new UpdateQueue();
 
-    /** Creates a quarantine that knows of no request. */
+    /** Creates a quarantine that tracks no request. */
     public Quarantine() {}
 
     /**
-     * Notes that a target ended while it had a request that this gateway sent.
+     * Records the crash of a target that was running a request from this gateway, and queues an
+     * update for peers if the crash is new.
      *
      * @param fingerprint The request.
-     * @param life The target's life.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if that was not known, so that peers are to be told.
+     * @param incarnation The incarnation of the target.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the crash is new, so that peers should be informed at once.
      */
-    public boolean ended(Fingerprint fingerprint, String life, long now) {
-        boolean learnt = takeEnded(fingerprint, life, now);
-        if (learnt) {
-            news.add(QuarantineWord.ended(fingerprint, life), now);
+    public boolean ended(Fingerprint fingerprint, String incarnation, long now) {
+        boolean added = addCrash(fingerprint, incarnation, now);
+        if (added) {
+            updates.add(QuarantineWord.ended(fingerprint, incarnation), now);
         }
-        return learnt;
+        return added;
     }
 
     /**
-     * Takes a request for harmless, since a target answered it whole or an operator says so. Peers
-     * are told.
+     * Clears a suspected request, because a target completed it or an operator released it, and
+     * queues an update for peers.
      *
      * @param fingerprint The request.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if the request was held back until now.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the request was quarantined.
      */
     public boolean clear(Fingerprint fingerprint, long now) {
-        boolean before = held.contains(fingerprint);
-        Suspicion known = requests.get(fingerprint);
-        if (known != null && known.suspected()) {
-            takeCleared(fingerprint, now);
-            news.add(QuarantineWord.cleared(fingerprint), now);
+        boolean wasHeld = held.contains(fingerprint);
+        Suspicion suspicion = suspicions.get(fingerprint);
+        if (suspicion != null && suspicion.isSuspected()) {
+            clearSuspicion(fingerprint, now);
+            updates.add(QuarantineWord.cleared(fingerprint), now);
         }
-        return before;
+        return wasHeld;
     }
 
     /**
-     * Takes in what a peer tells.
+     * Applies an update from a peer.
      *
-     * @param word What it tells.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if the request is held back from now on.
+     * @param update The update.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the update quarantined the request.
      */
-    public boolean heard(QuarantineWord word, long now) {
-        Fingerprint fingerprint = word.fingerprint();
-        return switch (word.kind()) {
+    public boolean heard(QuarantineWord update, long now) {
+        Fingerprint fingerprint = update.fingerprint();
+        return switch (update.kind()) {
             case TARGET_ENDED -> {
-                takeEnded(fingerprint, word.life(), now);
+                addCrash(fingerprint, update.life(), now);
                 yield false;
             }
             case CLEARED -> {
-                takeCleared(fingerprint, now);
+                clearSuspicion(fingerprint, now);
                 yield false;
             }
             case HELD -> hold(fingerprint, now);
@@ -112,35 +115,35 @@
     }
 
     /**
-     * Holds a request back, since that was decided before.
+     * Quarantines a request that a peer or the directory holds, unless it was cleared recently.
      *
      * @param fingerprint The request.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it was not held back until now.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if this call quarantined the request.
      */
     public boolean hold(Fingerprint fingerprint, long now) {
         if (held.contains(fingerprint)) {
             return false;
         }
-        Suspicion suspicion = touch(fingerprint, now);
+        Suspicion suspicion = markChanged(fingerprint, now);
         suspicion.hold(now);
-        index(fingerprint, suspicion.state());
+        updateStateSets(fingerprint, suspicion.state());
         return held.contains(fingerprint);
     }
 
     /**
-     * Decides about the requests that were undecided for long enough.
+     * Decides the undecided requests that are due and drops expired ones.
      *
-     * @param now The present time, in milliseconds.
-     * @return Those that are held back from now on.
+     * @param now The current time, in milliseconds.
+     * @return The requests that this call quarantined.
      */
     public List<Fingerprint> decide(long now) {
-        expire(now);
+        removeExpired(now);
         List<Fingerprint> decided = new ArrayList<>();
         for (Fingerprint each : List.copyOf(undecided)) {
-            Suspicion suspicion = requests.get(each);
+            Suspicion suspicion = suspicions.get(each);
             suspicion.decide(now);
-            index(each, suspicion.state());
+            updateStateSets(each, suspicion.state());
             if (held.contains(each)) {
                 decided.add(each);
             }
@@ -149,146 +152,116 @@
     }
 
     /**
-     * Tells whether any request of a scope is known.
+     * Returns {@code true} if a request of a scope is tracked. Others need no fingerprint.
      *
      * @param scope The scope.
-     * @return {@code true} if one is.
+     * @return {@code true} if at least one request is tracked.
      */
     public boolean knows(long scope) {
-        return scopes.containsKey(scope);
+        return scopeCounts.containsKey(scope);
     }
 
-    /**
-     * Tells whether all requests are sent, so that none need be looked at.
-     *
-     * @return {@code true} if none is held back or undecided.
-     */
+    /** {@return {@code true} if no request is quarantined or undecided, so that all may be sent} */
     public boolean idle() {
         return held.isEmpty() && undecided.isEmpty();
     }
 
     /**
-     * Returns what becomes of a request.
+     * Returns the state of a request.
      *
      * @param fingerprint The request.
-     * @return The state.
+     * @return The state, {@link QuarantineState#FREE} if the request isn't tracked.
      */
     public QuarantineState state(Fingerprint fingerprint) {
-        Suspicion suspicion = requests.get(fingerprint);
+        Suspicion suspicion = suspicions.get(fingerprint);
         return suspicion == null ? QuarantineState.FREE : suspicion.state();
     }
 
-    /**
-     * Returns how many requests are held back.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of quarantined requests} */
     public int held() {
         return held.size();
     }
 
-    /**
-     * Returns how many requests are suspected or held back, or were lately.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of tracked requests, including those cleared recently} */
     public int size() {
-        return requests.size();
+        return suspicions.size();
     }
 
-    /**
-     * Returns how many targets are known to have ended under requests, for each request at most as
-     * many as decide.
-     *
-     * @return The sum over all requests.
-     */
+    /** {@return the number of crashes that count, summed over all tracked requests} */
     public int livesKnown() {
-        return requests.values().stream().mapToInt(each -> each.lives().size()).sum();
+        return suspicions.values().stream()
+                .mapToInt(each -> each.crashedIncarnations().size())
+                .sum();
     }
 
     /**
-     * Returns the targets that ended while they had a request, as far as is known.
+     * Returns the incarnations of targets that crashed while running a request.
      *
      * @param fingerprint The request.
-     * @return Their lives.
+     * @return The incarnations whose crashes count, empty if the request isn't tracked.
      */
     public Set<String> lives(Fingerprint fingerprint) {
-        Suspicion suspicion = requests.get(fingerprint);
-        return suspicion == null ? Set.of() : Set.copyOf(suspicion.lives());
+        Suspicion suspicion = suspicions.get(fingerprint);
+        return suspicion == null ? Set.of() : Set.copyOf(suspicion.crashedIncarnations());
     }
 
     /**
-     * Takes what peers are to be told now.
+     * Takes the updates that are due to be sent to peers.
      *
-     * @param now The present time, in milliseconds.
-     * @return The words.
+     * @param now The current time, in milliseconds.
+     * @return The updates.
      */
     public List<QuarantineWord> takeNews(long now) {
-        return news.take(now);
+        return updates.take(now);
     }
 
     /**
-     * Returns what speaks against requests, for a peer that knows nothing yet: all that are held
-     * back, and the targets that ended last.
+     * Returns the state to send to a newly connected peer.
      *
-     * @return The words.
+     * @return All quarantined requests, and the most recent crashes.
      */
     public List<QuarantineWord> all() {
-        List<QuarantineWord> ended = new ArrayList<>();
-        requests.forEach(
+        List<QuarantineWord> crashes = new ArrayList<>();
+        suspicions.forEach(
                 (fingerprint, suspicion) -> {
-                    for (String life : suspicion.lives()) {
-                        ended.add(QuarantineWord.ended(fingerprint, life));
+                    for (String each : suspicion.crashedIncarnations()) {
+                        crashes.add(QuarantineWord.ended(fingerprint, each));
                     }
                 });
-        List<QuarantineWord> words = new ArrayList<>(heldWords());
-        words.addAll(ended.subList(Math.max(0, ended.size() - MAX_TOLD), ended.size()));
-        return words;
+        List<QuarantineWord> snapshot = new ArrayList<>(heldWords());
+        snapshot.addAll(
+                crashes.subList(
+                        Math.max(0, crashes.size() - MAX_SNAPSHOT_CRASHES), crashes.size()));
+        return snapshot;
     }
 
-    /**
-     * Returns which requests are held back, for peers.
-     *
-     * @return A word for each.
-     */
+    /** {@return an update for each quarantined request} */
     public List<QuarantineWord> heldWords() {
         return held.stream().map(QuarantineWord::held).toList();
     }
 
     /**
-     * Takes in that a target ended.
+     * Adds a crash to the evidence against a request.
      *
-     * @param fingerprint The request that it had.
-     * @param life The target's life.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if that was not known.
+     * @param fingerprint The request.
+     * @param incarnation The incarnation of the target.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the crash is new and counts.
      */
-    private boolean takeEnded(Fingerprint fingerprint, String life, long now) {
-        Suspicion suspicion = touch(fingerprint, now);
-        boolean learnt = suspicion.ended(life, now);
-        index(fingerprint, suspicion.state());
-        return learnt;
+    private boolean addCrash(Fingerprint fingerprint, String incarnation, long now) {
+        Suspicion suspicion = markChanged(fingerprint, now);
+        boolean added = suspicion.recordCrash(incarnation, now);
+        updateStateSets(fingerprint, suspicion.state());
+        return added;
     }
 
-    /**
-     * Forgets what speaks against a request, and does not believe it again for a while.
-     *
-     * @param fingerprint The request.
-     * @param now The present time, in milliseconds.
-     */
-    private void takeCleared(Fingerprint fingerprint, long now) {
-        Suspicion suspicion = touch(fingerprint, now);
+    private void clearSuspicion(Fingerprint fingerprint, long now) {
+        Suspicion suspicion = markChanged(fingerprint, now);
         suspicion.clear(now);
-        index(fingerprint, suspicion.state());
+        updateStateSets(fingerprint, suspicion.state());
     }
 
-    /**
-     * Notes what becomes of a request.
-     *
-     * @param fingerprint The request.
-     * @param state Its state.
-     */
-    private void index(Fingerprint fingerprint, QuarantineState state) {
+    private void updateStateSets(Fingerprint fingerprint, QuarantineState state) {
         undecided.remove(fingerprint);
         held.remove(fingerprint);
         if (state == QuarantineState.UNDECIDED) {
@@ -299,65 +272,58 @@
     }
 
     /**
-     * Returns what is known of a request, as the one that changed last.
+     * Moves a request to the end of the order of eviction, and starts to track it if necessary.
      *
      * @param fingerprint The request.
-     * @param now The present time, in milliseconds.
-     * @return What is known of it.
+     * @param now The current time, in milliseconds.
+     * @return The evidence about the request.
      */
-    private Suspicion touch(Fingerprint fingerprint, long now) {
-        Suspicion known = requests.remove(fingerprint);
-        if (known == null) {
-            scopes.merge(fingerprint.scope(), 1, Integer::sum);
-            known = new Suspicion(now);
+    private Suspicion markChanged(Fingerprint fingerprint, long now) {
+        Suspicion suspicion = suspicions.remove(fingerprint);
+        if (suspicion == null) {
+            scopeCounts.merge(fingerprint.scope(), 1, Integer::sum);
+            suspicion = new Suspicion(now);
         }
-        requests.put(fingerprint, known);
-        if (requests.size() > MAX_REQUESTS) {
-            forgetOne();
+        suspicions.put(fingerprint, suspicion);
+        if (suspicions.size() > MAX_REQUESTS) {
+            evictOne();
         }
-        return known;
+        return suspicion;
     }
 
-    /** Forgets the request that has not changed for longest, first of those that are sent. */
-    private void forgetOne() {
+    /**
+     * Evicts the least recently changed free request, or the least recently changed one if none is
+     * free.
+     */
+    private void evictOne() {
         Fingerprint oldest =
-                requests.entrySet().stream()
+                suspicions.entrySet().stream()
                         .filter(each -> each.getValue().state() == QuarantineState.FREE)
                         .map(Map.Entry::getKey)
                         .findFirst()
-                        .orElseGet(() -> requests.keySet().iterator().next());
-        requests.remove(oldest);
-        forgotten(oldest);
+                        .orElseGet(() -> suspicions.keySet().iterator().next());
+        suspicions.remove(oldest);
+        removeFromIndexes(oldest);
     }
 
-    /**
-     * Forgets requests of which nothing was learnt for long.
-     *
-     * @param now The present time, in milliseconds.
-     */
-    private void expire(long now) {
-        Iterator<Map.Entry<Fingerprint, Suspicion>> all = requests.entrySet().iterator();
+    private void removeExpired(long now) {
+        Iterator<Map.Entry<Fingerprint, Suspicion>> all = suspicions.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<Fingerprint, Suspicion> each = all.next();
             long age = now - each.getValue().changedMillis();
-            if (age < SUSPECTED_MILLIS) {
+            if (age < SUSPICION_TTL_MILLIS) {
                 return;
             }
             if (!held.contains(each.getKey()) || age >= HELD_MILLIS) {
                 all.remove();
-                forgotten(each.getKey());
+                removeFromIndexes(each.getKey());
             }
         }
     }
 
-    /**
-     * Notes that a request is no longer known.
-     *
-     * @param fingerprint The request.
-     */
-    private void forgotten(Fingerprint fingerprint) {
-        index(fingerprint, QuarantineState.FREE);
-        scopes.merge(fingerprint.scope(), -1, Integer::sum);
-        scopes.remove(fingerprint.scope(), 0);
+    private void removeFromIndexes(Fingerprint fingerprint) {
+        updateStateSets(fingerprint, QuarantineState.FREE);
+        scopeCounts.merge(fingerprint.scope(), -1, Integer::sum);
+        scopeCounts.remove(fingerprint.scope(), 0);
     }
 }
--- a/src/main/java/org/martenwell/quarantine/QuarantineState.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineState.java
@@ -3,34 +3,32 @@
 import java.util.Optional;
 import org.martenwell.error.ErrorKind;
 
-/** What becomes of a request under which targets may have ended. */
+/** Quarantine state of a request. */
 public enum QuarantineState {
 
-    /** It is sent like any other. */
+    /** The request is sent as usual. */
     FREE(Optional.empty()),
 
-    /** Enough targets ended; it is not sent until it is clear whether it was chance. */
+    /**
+     * The request has reached the crash threshold and is rejected until the decision delay has
+     * passed.
+     */
     UNDECIDED(Optional.of(ErrorKind.MAY_END_TARGETS)),
 
-    /** It is not sent. */
+    /** The request is quarantined and rejected. */
     HELD(Optional.of(ErrorKind.ENDS_TARGETS));
 
-    /** Why it is not sent, if it is not. */
+    /** The error for a request in this state, empty if it may be sent. */
     private final Optional<ErrorKind> refusal;
 
-    /**
-     * Creates a state.
-     *
-     * @param refusal Why a request is not sent, if it is not.
-     */
     QuarantineState(Optional<ErrorKind> refusal) {
         this.refusal = refusal;
     }
 
     /**
-     * Returns why a request is not sent.
+     * Returns the error with which a request in this state is rejected.
      *
-     * @return The kind of its answer or empty if it may be sent.
+     * @return The kind of error, empty if the request may be sent.
      */
     public Optional<ErrorKind> refusal() {
         return refusal;
--- a/src/main/java/org/martenwell/quarantine/QuarantineWord.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineWord.java
@@ -1,41 +1,42 @@
 package org.martenwell.quarantine;
 
 /**
- * What a gateway tells of a request. Words may come twice and in any order: they name the lives
- * that ended rather than count them.
+ * Quarantine information that gateways gossip about a request. Applying an update is idempotent and
+ * independent of order, because a crash names the incarnation that crashed instead of adding to a
+ * count.
  *
- * @param fingerprint The request.
- * @param kind What is told.
- * @param life The life of the target that ended, empty with another kind.
+ * @param fingerprint The fingerprint of the request.
+ * @param kind The kind of update.
+ * @param life The incarnation of the target that crashed, empty for other kinds.
  */
 public record QuarantineWord(Fingerprint fingerprint, WordKind kind, String life) {
 
     /**
-     * Tells that a target ended while it had a request.
+     * Creates an update that reports the crash of a target.
      *
-     * @param fingerprint The request.
-     * @param life The target's life.
-     * @return The word.
+     * @param fingerprint The request that the target was running.
+     * @param life The incarnation that crashed.
+     * @return The update.
      */
     public static QuarantineWord ended(Fingerprint fingerprint, String life) {
         return new QuarantineWord(fingerprint, WordKind.TARGET_ENDED, life);
     }
 
     /**
-     * Tells that a request is harmless.
+     * Creates an update that reports a request as harmless.
      *
      * @param fingerprint The request.
-     * @return The word.
+     * @return The update.
      */
     public static QuarantineWord cleared(Fingerprint fingerprint) {
         return new QuarantineWord(fingerprint, WordKind.CLEARED, "");
     }
 
     /**
-     * Tells that a request is held back.
+     * Creates an update that reports a request as quarantined.
      *
      * @param fingerprint The request.
-     * @return The word.
+     * @return The update.
      */
     public static QuarantineWord held(Fingerprint fingerprint) {
         return new QuarantineWord(fingerprint, WordKind.HELD, "");
--- a/src/main/java/org/martenwell/quarantine/Suspicion.java
+++ b/src/main/java/org/martenwell/quarantine/Suspicion.java
@@ -5,171 +5,156 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What speaks against one request, and for it. */
+/** Evidence about one request, and the quarantine state that follows from it. */
 final class Suspicion {
 
     /**
-     * How many targets must have ended while they had a request for it to be held back. Two may be
-     * chance: whoever ran beside a harmful request is often sent on to the target that it ends
-     * next.
+     * The number of crashes needed to quarantine a request. Two may be coincidence: a harmless
+     * request that ran beside a harmful one is often retried on the target that crashes next.
      */
-    private static final int DECIDING_LIVES = 3;
+    private static final int CRASH_THRESHOLD = 3;
 
     /**
-     * How long it is from the deciding end of a target to the decision, in milliseconds. A request
-     * that comes often is answered whole by another target meanwhile, and words of that arrive:
-     * they take 0.1 s in small fleets and 0.6 s in large ones.
+     * The time between the crash that reaches the threshold and the decision, in milliseconds.
+     * Leaves time for a frequent, harmless request to complete on another target and for the update
+     * on that to arrive, which takes up to 0.6 s in large fleets.
      */
-    private static final long UNDECIDED_MILLIS = 1_000;
+    private static final long DECISION_DELAY_MILLIS = 1_000;
 
     /**
-     * How far apart targets must have ended, in milliseconds. What comes often is at work on many
-     * targets, and several of them may end at once without its doing; that counts as one.
+     * The least time between the first and the last crash, in milliseconds. A frequent request runs
+     * on many targets; if several of these crash at once for another reason, they count as one.
      */
-    private static final long APART_MILLIS = 300;
+    private static final long MIN_CRASH_SPREAD_MILLIS = 300;
 
     /**
-     * For how long a whole answer outweighs targets that end, in milliseconds: some times as long
-     * as words between gateways may be on their way, so that old ones don't speak again.
+     * The time for which crashes are ignored after the request was cleared, in milliseconds. Longer
+     * than updates take between gateways, so that delayed ones don't count.
      */
-    private static final long SERVED_MILLIS = 10_000;
+    private static final long IGNORE_CRASHES_MILLIS = 10_000;
 
     /**
-     * For how long no peer can hold back what was released, in milliseconds: some times as long as
-     * it may take each of them to read the directory again.
+     * The time for which peers can't quarantine the request after it was cleared, in milliseconds.
+     * Longer than all of them take to read the directory again.
      */
-    private static final long RELEASED_MILLIS = 60_000;
+    private static final long IGNORE_HOLDS_MILLIS = 60_000;
 
-    /** When the lives of targets were learnt to have ended, in milliseconds, by life. */
-    private final Map<String, Long> lives = new LinkedHashMap<>();
+    /** The time at which each crash was learnt, in milliseconds, by incarnation of the target. */
+    private final Map<String, Long> crashes = new LinkedHashMap<>();
 
-    /** The lives that ended together with one of these; words of them come again. */
-    private final Set<String> together = new HashSet<>();
+    /**
+     * The incarnations whose crashes were merged into one of {@link #crashes}; peers may report
+     * them again.
+     */
+    private final Set<String> mergedCrashes = new HashSet<>();
 
-    /** Until when a whole answer outweighs them, in milliseconds. */
-    private long servedUntil = Long.MIN_VALUE;
+    /** The time before which crashes are ignored, in milliseconds. */
+    private long ignoreCrashesUntil = Long.MIN_VALUE;
 
-    /** Until when peers' word that the request is held back is not believed, in milliseconds. */
-    private long releasedUntil = Long.MIN_VALUE;
+    /** The time before which {@link #hold} is ignored, in milliseconds. */
+    private long ignoreHoldsUntil = Long.MIN_VALUE;
 
-    /** When it is decided whether the request is held back, in milliseconds. */
-    private long decidedMillis;
+    /** The time from which an undecided request can be decided, in milliseconds. */
+    private long decisionMillis;
 
-    /** What becomes of the request. */
     private QuarantineState state = QuarantineState.FREE;
 
-    /** When anything was last learnt, in milliseconds. */
+    /** The time of the last change, in milliseconds. */
     private long changedMillis;
 
     /**
-     * Creates a suspicion about which nothing is known.
+     * Creates a record without evidence.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     Suspicion(long now) {
         this.changedMillis = now;
     }
 
     /**
-     * Notes that a target ended while it had the request.
+     * Records the crash of a target that was running the request.
      *
-     * @param life The target's life.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if that was not known.
+     * @param incarnation The incarnation of the target.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the crash is new and counts.
      */
-    boolean ended(String life, long now) {
-        if (now < servedUntil
-                || lives.size() >= DECIDING_LIVES
-                || together.contains(life)
-                || lives.putIfAbsent(life, now) != null) {
+    boolean recordCrash(String incarnation, long now) {
+        if (now < ignoreCrashesUntil
+                || crashes.size() >= CRASH_THRESHOLD
+                || mergedCrashes.contains(incarnation)
+                || crashes.putIfAbsent(incarnation, now) != null) {
             return false;
         }
         changedMillis = now;
-        if (lives.size() >= DECIDING_LIVES && state == QuarantineState.FREE) {
+        if (crashes.size() >= CRASH_THRESHOLD && state == QuarantineState.FREE) {
             state = QuarantineState.UNDECIDED;
-            decidedMillis = now + UNDECIDED_MILLIS;
+            decisionMillis = now + DECISION_DELAY_MILLIS;
         }
         return true;
     }
 
     /**
-     * Decides about a request that is undecided, once it is time.
+     * Quarantines or frees an undecided request once the decision delay has passed.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     void decide(long now) {
-        if (state != QuarantineState.UNDECIDED || now < decidedMillis) {
+        if (state != QuarantineState.UNDECIDED || now < decisionMillis) {
             return;
         }
-        long first = lives.values().stream().mapToLong(Long::longValue).min().orElse(now);
-        long last = lives.values().stream().mapToLong(Long::longValue).max().orElse(now);
-        if (last - first >= APART_MILLIS) {
+        long first = crashes.values().stream().mapToLong(Long::longValue).min().orElse(now);
+        long last = crashes.values().stream().mapToLong(Long::longValue).max().orElse(now);
+        if (last - first >= MIN_CRASH_SPREAD_MILLIS) {
             state = QuarantineState.HELD;
             changedMillis = now;
         } else {
             state = QuarantineState.FREE;
-            together.addAll(lives.keySet());
-            lives.keySet().retainAll(Set.of(lives.keySet().iterator().next()));
+            mergedCrashes.addAll(crashes.keySet());
+            crashes.keySet().retainAll(Set.of(crashes.keySet().iterator().next()));
         }
     }
 
     /**
-     * Notes that a target answered the request whole, or that an operator took it for harmless.
+     * Discards the evidence, because a target completed the request or an operator released it.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     void clear(long now) {
-        lives.clear();
+        crashes.clear();
         state = QuarantineState.FREE;
-        servedUntil = now + SERVED_MILLIS;
-        releasedUntil = now + RELEASED_MILLIS;
+        ignoreCrashesUntil = now + IGNORE_CRASHES_MILLIS;
+        ignoreHoldsUntil = now + IGNORE_HOLDS_MILLIS;
         changedMillis = now;
     }
 
-    /**
-     * Tells whether anything speaks against the request.
-     *
-     * @return {@code true} if a target ended or the request is held back.
-     */
-    boolean suspected() {
-        return !lives.isEmpty() || state != QuarantineState.FREE;
+    /** {@return {@code true} if a crash is recorded or the request isn't free} */
+    boolean isSuspected() {
+        return !crashes.isEmpty() || state != QuarantineState.FREE;
     }
 
     /**
-     * Holds the request back.
+     * Quarantines the request, unless it was cleared recently.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     void hold(long now) {
-        if (now >= releasedUntil) {
+        if (now >= ignoreHoldsUntil) {
             state = QuarantineState.HELD;
             changedMillis = now;
         }
     }
 
-    /**
-     * Returns what becomes of the request.
-     *
-     * @return The state.
-     */
+    /** {@return the quarantine state of the request} */
     QuarantineState state() {
         return state;
     }
 
-    /**
-     * Returns the lives of targets that ended.
-     *
-     * @return The lives.
-     */
-    Set<String> lives() {
-        return lives.keySet();
+    /** {@return the incarnations of targets whose crashes count against the request} */
+    Set<String> crashedIncarnations() {
+        return crashes.keySet();
     }
 
-    /**
-     * Returns when anything was last learnt.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the time of the last change, in milliseconds} */
     long changedMillis() {
         return changedMillis;
     }
--- a/src/main/java/org/martenwell/quarantine/UpdateQueue.java
+++ b/src/main/java/org/martenwell/quarantine/UpdateQueue.java
@@ -6,63 +6,63 @@
 import java.util.List;
 
 /**
- * What peers are still to be told. Each word is told several times, so that a report that is lost
- * with its connection does no harm.
+ * Queue of updates to send to peers. Each update is sent several times, because a report that is
+ * lost with its connection isn't resent.
  */
 final class UpdateQueue {
 
-    /** After how long a word is told again, in milliseconds, the first time at once. */
-    private static final long[] TOLD_AFTER_MILLIS = {0, 500, 2_000};
+    /** The delay of each transmission of an update after it was queued, in milliseconds. */
+    private static final long[] SEND_DELAYS_MILLIS = {0, 500, 2_000};
 
-    /** How many words one report may hold, so that a crash of many targets delays no report. */
-    private static final int MAX_WORDS = 256;
+    /** The most updates in a report; bounds its size after many targets crash at once. */
+    private static final int MAX_UPDATES_PER_REPORT = 256;
 
-    /** The words that are due, by how often they were told. */
+    /** The queued updates, indexed by the number of times that they were sent. */
     private final List<Deque<Due>> due = new ArrayList<>();
 
     /**
-     * A word that is to be told.
+     * A queued update.
      *
-     * @param word The word.
-     * @param learntMillis When it was learnt, in milliseconds.
+     * @param update The update.
+     * @param queuedMillis The time at which it was added, in milliseconds.
      */
-    private record Due(QuarantineWord word, long learntMillis) {}
+    private record Due(QuarantineWord update, long queuedMillis) {}
 
-    /** Creates news of which there are none. */
+    /** Creates an empty queue. */
     UpdateQueue() {
-        for (int told = 0; told < TOLD_AFTER_MILLIS.length; told++) {
+        for (int sent = 0; sent < SEND_DELAYS_MILLIS.length; sent++) {
             due.add(new ArrayDeque<>());
         }
     }
 
     /**
-     * Adds a word.
+     * Queues an update.
      *
-     * @param word The word.
-     * @param now The present time, in milliseconds.
+     * @param update The update.
+     * @param now The current time, in milliseconds.
      */
-    void add(QuarantineWord word, long now) {
-        due.get(0).add(new Due(word, now));
+    void add(QuarantineWord update, long now) {
+        due.get(0).add(new Due(update, now));
     }
 
     /**
-     * Takes the words that are to be told now.
+     * Takes the updates that are due and schedules their next transmission.
      *
-     * @param now The present time, in milliseconds.
-     * @return The words, those that were never told first.
+     * @param now The current time, in milliseconds.
+     * @return The updates, those that were never sent first.
      */
     List<QuarantineWord> take(long now) {
         List<QuarantineWord> taken = new ArrayList<>();
-        for (int told = 0; told < TOLD_AFTER_MILLIS.length; told++) {
-            Deque<Due> words = due.get(told);
-            long learntBefore = now - TOLD_AFTER_MILLIS[told];
-            while (taken.size() < MAX_WORDS
-                    && !words.isEmpty()
-                    && words.peek().learntMillis() <= learntBefore) {
-                Due each = words.poll();
-                taken.add(each.word());
-                if (told + 1 < TOLD_AFTER_MILLIS.length) {
-                    due.get(told + 1).add(each);
+        for (int sent = 0; sent < SEND_DELAYS_MILLIS.length; sent++) {
+            Deque<Due> updates = due.get(sent);
+            long queuedBefore = now - SEND_DELAYS_MILLIS[sent];
+            while (taken.size() < MAX_UPDATES_PER_REPORT
+                    && !updates.isEmpty()
+                    && updates.peek().queuedMillis() <= queuedBefore) {
+                Due each = updates.poll();
+                taken.add(each.update());
+                if (sent + 1 < SEND_DELAYS_MILLIS.length) {
+                    due.get(sent + 1).add(each);
                 }
             }
         }
--- a/src/main/java/org/martenwell/quarantine/WordKind.java
+++ b/src/main/java/org/martenwell/quarantine/WordKind.java
@@ -4,34 +4,30 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** What gateways tell each other of a request. */
+/** Kind of a quarantine update. */
 public enum WordKind {
 
-    /** A target ended while it had the request. */
+    /** A target crashed while running the request. */
     TARGET_ENDED(1),
 
-    /** A target answered the request whole or an operator released it: it is harmless. */
+    /** A target completed the request, or an operator released it. */
     CLEARED(2),
 
-    /** The request is held back. */
+    /** The request is quarantined. */
     HELD(3);
 
-    /** The number that stands for the kind in messages. */
+    /** The number of this kind in peer messages. */
     private final int number;
 
-    /**
-     * Creates a kind.
-     *
-     * @param number The number that stands for it in messages.
-     */
     WordKind(int number) {
         this.number = number;
     }
 
     /**
-     * Returns the kind of a number, or throws an exception of the kind {@link ErrorKind#BAD_FRAME}.
+     * Returns the kind with a number. Throws an exception of the kind {@link ErrorKind#BAD_FRAME}
+     * if there is none.
      *
-     * @param number The number.
+     * @param number The number of the kind in peer messages.
      * @return The kind.
      */
     public static WordKind of(int number) {
@@ -41,14 +37,11 @@
                 .orElseThrow(
                         () ->
                                 MartenwellException.of(
-                                        ErrorKind.BAD_FRAME, "The kind of a word is unknown."));
+                                        ErrorKind.BAD_FRAME,
+                                        "The kind of quarantine update is unknown."));
     }
 
-    /**
-     * Returns the number that stands for the kind in messages.
-     *
-     * @return The number.
-     */
+    /** {@return the number of this kind in peer messages} */
     public int number() {
         return number;
     }
--- a/src/main/java/org/martenwell/quarantine/package-info.java
+++ b/src/main/java/org/martenwell/quarantine/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Requests that end the targets that run them: what makes two requests the same, what speaks
- * against one, and which are held back. Plain objects that are given the time and what was seen.
+ * Quarantine of requests that crash the targets that run them: request fingerprints, the evidence
+ * against each request, and the decision to reject it. The classes do no input or output and read
+ * no clock; callers pass in events and the current time.
  */
 package org.martenwell.quarantine;
--- a/src/test/java/org/martenwell/quarantine/FingerprintTest.java
+++ b/src/test/java/org/martenwell/quarantine/FingerprintTest.java
@@ -12,7 +12,7 @@
     private final FingerprintFunction function = new FingerprintFunction("key of the fleet");
 
     @Test
-    void testSameRequestHasTheSameFingerprintAtEachGateway() {
+    void testGatewaysWithTheSameKeyComputeEqualFingerprints() {
         FingerprintFunction other = new FingerprintFunction("key of the fleet");
         long scope = other.scope("POST", "h", "/a/x?y", "clinic");
         assertThat(other.of(scope, bytes("body")))
@@ -27,21 +27,21 @@
         "POST,h,/a/x,depot,body",
         "POST,h,/a/x,clinic,bodies"
     })
-    void testEachPartCounts(
+    void testEachPartChangesTheFingerprint(
             String method, String host, String target, String organisation, String body) {
         assertThat(fingerprint(method, host, target, organisation, body))
                 .isNotEqualTo(fingerprint("POST", "h", "/a/x", "clinic", "body"));
     }
 
     @Test
-    void testNobodyWithoutTheKeyKnowsFingerprints() {
+    void testFingerprintDependsOnTheKey() {
         FingerprintFunction other = new FingerprintFunction("another key");
         assertThat(other.scope("GET", "h", "/", ""))
                 .isNotEqualTo(function.scope("GET", "h", "/", ""));
     }
 
     @Test
-    void testTextIsReadAgain() {
+    void testParseReversesToString() {
         Fingerprint fingerprint = new Fingerprint(-2, 0x1f);
         assertThat(fingerprint).hasToString("fffffffffffffffe000000000000001f");
         assertThat(Fingerprint.parse(fingerprint.toString())).contains(fingerprint);
@@ -54,7 +54,7 @@
         "fffffffffffffffe00000000000000zz",
         "fffffffffffffffe000000000000001f0"
     })
-    void testOtherTextIsNoFingerprint(String text) {
+    void testParseRejectsMalformedText(String text) {
         assertThat(Fingerprint.parse(text)).isEmpty();
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -16,16 +16,16 @@
 
     private static final Fingerprint HARMFUL = new Fingerprint(1, 2);
 
-    /** Another request of the same path and caller. */
+    /** A request of the same scope with another body. */
     private static final Fingerprint OTHER = new Fingerprint(1, 3);
 
-    /** Longer than a whole answer outweighs targets that end, in milliseconds. */
-    private static final long LATER_MILLIS = 11_000;
+    /** Longer than crashes are ignored after a request was cleared, in milliseconds. */
+    private static final long AFTER_IGNORED_MILLIS = 11_000;
 
     private final Quarantine quarantine = new Quarantine();
 
     @Test
-    void testThirdTargetThatEndsDecidesOnceItIsClearThatItIsNoChance() {
+    void testThirdCrashQuarantinesAfterTheDecisionDelay() {
         quarantine.ended(HARMFUL, "a", 0);
         quarantine.ended(HARMFUL, "b", 400);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void testTargetThatIsToldOfTwiceCountsOnce() {
+    void testRepeatedReportOfOneCrashCountsOnce() {
         for (int times = 0; times < 3; times++) {
             quarantine.ended(HARMFUL, "a", 0);
             quarantine.heard(QuarantineWord.ended(HARMFUL, "a"), 0);
@@ -46,9 +46,9 @@
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
     }
 
-    /** A status query without a body comes thousands of times and runs wherever a target ends. */
+    /** Frequent requests, such as status queries, run on most targets that crash. */
     @Test
-    void testWholeAnswerOutweighsTargetsThatEnded() {
+    void testCompletedRequestClearsRecordedCrashes() {
         quarantine.ended(HARMFUL, "a", 0);
         quarantine.ended(HARMFUL, "b", 400);
         quarantine.ended(HARMFUL, "c", 800);
@@ -59,9 +59,9 @@
         assertThat(quarantine.decide(2_000)).isEmpty();
     }
 
-    /** Several targets may end at once, and what comes often was at work on all of them. */
+    /** A frequent request runs on all of several targets that crash at once. */
     @Test
-    void testTargetsThatEndAtOnceCountAsOne() {
+    void testSimultaneousCrashesCountAsOne() {
         quarantine.ended(HARMFUL, "a", 0);
         quarantine.ended(HARMFUL, "b", 10);
         quarantine.ended(HARMFUL, "c", 90);
@@ -76,17 +76,17 @@
     }
 
     @Test
-    void testTargetsThatEndLongAfterAnAnswerCountAgain() {
+    void testCrashesLongAfterCompletionCountAgain() {
         quarantine.ended(HARMFUL, "a", 0);
         quarantine.clear(HARMFUL, 0);
-        quarantine.ended(HARMFUL, "b", LATER_MILLIS);
-        quarantine.ended(HARMFUL, "c", LATER_MILLIS);
-        quarantine.ended(HARMFUL, "d", LATER_MILLIS + 500);
-        assertThat(quarantine.decide(2 * LATER_MILLIS)).containsExactly(HARMFUL);
+        quarantine.ended(HARMFUL, "b", AFTER_IGNORED_MILLIS);
+        quarantine.ended(HARMFUL, "c", AFTER_IGNORED_MILLIS);
+        quarantine.ended(HARMFUL, "d", AFTER_IGNORED_MILLIS + 500);
+        assertThat(quarantine.decide(2 * AFTER_IGNORED_MILLIS)).containsExactly(HARMFUL);
     }
 
     @Test
-    void testWhatAnOperatorReleasesIsNotHeldBackByOldWords() {
+    void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
         quarantine.hold(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
         assertThat(quarantine.heard(QuarantineWord.held(HARMFUL), 30_000)).isFalse();
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void testPeerThatKnowsNothingIsToldAll() {
+    void testSnapshotHoldsQuarantinedRequestsAndCrashes() {
         quarantine.hold(OTHER, 0);
         quarantine.ended(HARMFUL, "a", 0);
         assertThat(quarantine.all())
@@ -103,9 +103,9 @@
                         QuarantineWord.held(OTHER), QuarantineWord.ended(HARMFUL, "a"));
     }
 
-    /** A status query that was suspected once was told of for each of its answers. */
+    /** Guards against an update for every completion of a request that was suspected once. */
     @Test
-    void testAnswersOfWhatIsNotSuspectedAreNoNews() {
+    void testCompletionOfAnUnsuspectedRequestQueuesNoUpdate() {
         quarantine.ended(HARMFUL, "a", 0);
         quarantine.takeNews(0);
         quarantine.clear(HARMFUL, 1);
@@ -115,18 +115,18 @@
     }
 
     @Test
-    void testNewsIsToldThreeTimesSinceAReportMayBeLost() {
+    void testUpdateIsSentThreeTimes() {
         quarantine.ended(HARMFUL, "a", 0);
-        List<QuarantineWord> word = List.of(QuarantineWord.ended(HARMFUL, "a"));
-        assertThat(quarantine.takeNews(0)).isEqualTo(word);
+        List<QuarantineWord> update = List.of(QuarantineWord.ended(HARMFUL, "a"));
+        assertThat(quarantine.takeNews(0)).isEqualTo(update);
         assertThat(quarantine.takeNews(400)).isEmpty();
-        assertThat(quarantine.takeNews(600)).isEqualTo(word);
-        assertThat(quarantine.takeNews(2_100)).isEqualTo(word);
+        assertThat(quarantine.takeNews(600)).isEqualTo(update);
+        assertThat(quarantine.takeNews(2_100)).isEqualTo(update);
         assertThat(quarantine.takeNews(9_000)).isEmpty();
     }
 
     @Test
-    void testSuspectsAreForgottenBeforeWhatIsHeldBack() {
+    void testFreeRequestsAreEvictedBeforeQuarantinedOnes() {
         quarantine.hold(HARMFUL, 0);
         for (int other = 0; other < 10_000; other++) {
             quarantine.ended(new Fingerprint(5, other), "a", 1);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void testWhatIsHeldBackIsForgottenInTheEnd() {
+    void testQuarantineExpires() {
         quarantine.hold(HARMFUL, 0);
         quarantine.decide(Quarantine.HELD_MILLIS - 1);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
@@ -146,21 +146,21 @@
     }
 
     @Property(tries = 300, seed = "1")
-    void testOrderAndRepeatsOfWordsChangeNothing(
-            @ForAll @IntRange(min = 1, max = 5) int lives, @ForAll long seed) {
-        List<QuarantineWord> words = new ArrayList<>();
-        IntStream.range(0, lives)
-                .mapToObj(life -> QuarantineWord.ended(HARMFUL, "life-" + life))
-                .forEach(words::add);
-        words.addAll(List.copyOf(words));
-        Collections.shuffle(words, new Random(seed));
+    void testUpdatesAreIdempotentAndCommutative(
+            @ForAll @IntRange(min = 1, max = 5) int crashes, @ForAll long seed) {
+        List<QuarantineWord> updates = new ArrayList<>();
+        IntStream.range(0, crashes)
+                .mapToObj(index -> QuarantineWord.ended(HARMFUL, "incarnation-" + index))
+                .forEach(updates::add);
+        updates.addAll(List.copyOf(updates));
+        Collections.shuffle(updates, new Random(seed));
         Quarantine fresh = new Quarantine();
         long now = 0;
-        for (QuarantineWord each : words) {
+        for (QuarantineWord each : updates) {
             fresh.heard(each, now);
             now += 400;
         }
-        assertThat(fresh.decide(now + LATER_MILLIS)).hasSize(lives >= 3 ? 1 : 0);
-        assertThat(fresh.held()).isEqualTo(lives >= 3 ? 1 : 0);
+        assertThat(fresh.decide(now + AFTER_IGNORED_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
+        assertThat(fresh.held()).isEqualTo(crashes >= 3 ? 1 : 0);
     }
 }
