--- a/src/main/java/org/martenwell/admission/AdmissionControl.java
+++ b/src/main/java/org/martenwell/admission/AdmissionControl.java
@@ -7,38 +7,38 @@
 import org.martenwell.error.MartenwellException;
 
 /**
- * Refuses requests at once that an organisation's contract or the router's limits do not allow or
- * that could not start in time. What is looked at is the organisation's own backlog, so that a
- * flood hurts its sender.
+ * Rejects requests that exceed the rate or the queue of an organisation's contract, that exceed the
+ * router's limits, or that are expected to wait too long. The expected wait depends only on the
+ * organisation's own queue, so a flood of requests delays its sender alone.
  */
 public final class AdmissionControl {
 
-    /** The most requests that wait at this router. */
+    /** The most requests in all queues of this router. */
     private final int maxWaiting;
 
-    /** The most memory that waiting requests hold, in bytes. */
+    /** The most memory held by queued requests, in bytes. */
     private final long maxWaitingBytes;
 
-    /** The request rates, by organisation. */
+    /** The rate limiters, by organisation. */
     private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-    /** The measures of how backlogs drain, by organisation. */
-    private final Map<String, DrainRate> drains = new HashMap<>();
+    /** The drain rates of the queues, by organisation. */
+    private final Map<String, DrainRate> drainRates = new HashMap<>();
 
-    /** How many requests wait, by organisation. */
+    /** The number of queued requests, by organisation. */
     private final Map<String, Integer> waiting = new HashMap<>();
 
-    /** How many requests wait at this router. */
-    private int waitingInAll;
+    /** The number of requests in all queues. */
+    private int totalWaiting;
 
-    /** The memory that waiting requests hold, in bytes. */
+    /** The memory held by queued requests, in bytes. */
     private long waitingBytes;
 
     /**
-     * Creates a control with nothing waiting.
+     * Creates a control with empty queues.
      *
-     * @param maxWaiting The most requests that wait at this router.
-     * @param maxWaitingBytes The most memory that waiting requests hold, in bytes.
+     * @param maxWaiting The most requests in all queues of this router.
+     * @param maxWaitingBytes The most memory held by queued requests, in bytes.
      */
     public AdmissionControl(int maxWaiting, long maxWaitingBytes) {
         this.maxWaiting = maxWaiting;
@@ -46,11 +46,12 @@
     }
 
     /**
-     * Admits a request under its contract's rate, or throws an exception that refuses it.
+     * Takes a request from the rate of an organisation. Throws an exception of the kind {@link
+     * ErrorKind#RATE_EXCEEDED} if the rate is exceeded.
      *
      * @param organisation The organisation.
      * @param contract Its contract.
-     * @param now The time.
+     * @param now The current time, in milliseconds.
      */
     public void admitRate(String organisation, Contract contract, long now) {
         long wait =
@@ -58,32 +59,34 @@
                         .take(contract.requestsPerSecond(), contract.burst(), now);
         if (wait > 0) {
             throw MartenwellException.of(
-                            ErrorKind.RATE_EXCEEDED, "The organisation's request rate is used up.")
+                            ErrorKind.RATE_EXCEEDED, "The organisation exceeded its request rate.")
                     .withRetryAfter(wait);
         }
     }
 
     /**
-     * Admits a request to waiting, or throws an exception that refuses it.
+     * Adds a request to the queue of an organisation. Throws an exception of the kind {@link
+     * ErrorKind#QUEUE_FULL}, {@link ErrorKind#ROUTER_FULL} or {@link ErrorKind#WAIT_TOO_LONG} if it
+     * is rejected.
      *
      * @param organisation The organisation.
      * @param contract Its contract.
-     * @param bytes The memory that the request holds, in bytes.
-     * @param now The time.
+     * @param bytes The memory held by the request, in bytes.
+     * @param now The current time, in milliseconds.
      */
     public void admitWaiting(String organisation, Contract contract, long bytes, long now) {
         int ahead = waiting.getOrDefault(organisation, 0);
-        DrainRate drain = drains.computeIfAbsent(organisation, key -> new DrainRate());
-        long estimate = drain.estimateMillis(ahead, now);
+        DrainRate drainRate = drainRates.computeIfAbsent(organisation, key -> new DrainRate());
+        long estimate = drainRate.estimateMillis(ahead, now);
         if (ahead >= contract.maxWaiting()) {
             throw MartenwellException.of(
-                            ErrorKind.QUEUE_FULL,
-                            "The organisation has as many requests waiting as it may.")
-                    .withRetryAfter(Math.max(1, drain.estimateMillis(0, now)));
+                            ErrorKind.QUEUE_FULL, "The queue of the organisation is full.")
+                    .withRetryAfter(Math.max(1, drainRate.estimateMillis(0, now)));
         }
-        if (waitingInAll >= maxWaiting || waitingBytes + bytes > maxWaitingBytes) {
+        if (totalWaiting >= maxWaiting || waitingBytes + bytes > maxWaitingBytes) {
             throw MartenwellException.of(
-                            ErrorKind.ROUTER_FULL, "The router has as much waiting as it may.")
+                            ErrorKind.ROUTER_FULL,
+                            "The router has reached its limit of waiting requests.")
                     .withRetryAfter(Math.max(1, estimate));
         }
         if (estimate > contract.maxWaitMillis()) {
@@ -92,42 +95,42 @@
                             "The request would wait about " + estimate + " ms.")
                     .withRetryAfter(estimate - contract.maxWaitMillis());
         }
-        drain.backlogged(now);
+        drainRate.markBacklogged(now);
         waiting.merge(organisation, 1, Integer::sum);
-        waitingInAll++;
+        totalWaiting++;
         waitingBytes += bytes;
     }
 
     /**
-     * Notes that a request no longer waits.
+     * Removes a request from the queue of an organisation.
      *
      * @param organisation The organisation.
-     * @param bytes The memory that the request held, in bytes.
-     * @param started {@code true} if it started, {@code false} if it was given up.
-     * @param now The time.
+     * @param bytes The memory held by the request, in bytes.
+     * @param started {@code true} if the request was started, {@code false} if it was abandoned.
+     * @param now The current time, in milliseconds.
      */
     public void endWaiting(String organisation, long bytes, boolean started, long now) {
-        DrainRate drain = drains.computeIfAbsent(organisation, key -> new DrainRate());
+        DrainRate drainRate = drainRates.computeIfAbsent(organisation, key -> new DrainRate());
         if (started) {
-            drain.started(now);
+            drainRate.recordStart(now);
         }
-        waitingInAll--;
+        totalWaiting--;
         waitingBytes -= bytes;
         if (waiting.merge(organisation, -1, Integer::sum) == 0) {
             waiting.remove(organisation);
-            drain.empty();
+            drainRate.markEmpty();
         }
     }
 
     /**
-     * Estimates when a request of an organisation would be admitted.
+     * Estimates the time until the next queued request of an organisation starts.
      *
      * @param organisation The organisation.
-     * @param now The time.
-     * @return The time until the next place is free, in milliseconds, 0 if unknown.
+     * @param now The current time, in milliseconds.
+     * @return The time in milliseconds, 0 if unknown.
      */
     public long estimateMillis(String organisation, long now) {
-        DrainRate drain = drains.get(organisation);
-        return drain == null ? 0 : drain.estimateMillis(0, now);
+        DrainRate drainRate = drainRates.get(organisation);
+        return drainRate == null ? 0 : drainRate.estimateMillis(0, now);
     }
 }
--- a/src/main/java/org/martenwell/admission/DrainRate.java
+++ b/src/main/java/org/martenwell/admission/DrainRate.java
@@ -1,66 +1,66 @@
 package org.martenwell.admission;
 
-/** Measures how fast an organisation's waiting requests start while it is backlogged. */
+/** Rate at which an organisation's queued requests start, measured while its queue isn't empty. */
 final class DrainRate {
 
-    /** How many requests must have started before the measure counts. */
+    /** The fewest starts needed for an estimate. */
     private static final double MIN_STARTED = 5;
 
-    /** How long a backlog must last before the measure counts, in milliseconds. */
+    /** The shortest measurement needed for an estimate, in milliseconds. */
     private static final long MIN_MILLIS = 2_000;
 
-    /** After how long the older half of the measure is forgotten, in milliseconds. */
+    /** The length of a measurement after which its older half is discarded, in milliseconds. */
     private static final long WINDOW_MILLIS = 10_000;
 
-    /** When the backlog or the window began, or a negative number if there is no backlog. */
-    private long since = -1;
+    /** The start of the measurement, in milliseconds; negative while the queue is empty. */
+    private long windowStart = -1;
 
-    /** How many requests started since. */
+    /** The number of starts since then, halved along with the window. */
     private double started;
 
-    /** Creates a measure without backlog. */
+    /** Creates a measurement of an empty queue. */
     DrainRate() {}
 
     /**
-     * Notes that requests wait.
+     * Starts a measurement unless one is running.
      *
-     * @param now The time.
+     * @param now The current time, in milliseconds.
      */
-    void backlogged(long now) {
-        if (since < 0) {
-            since = now;
+    void markBacklogged(long now) {
+        if (windowStart < 0) {
+            windowStart = now;
             started = 0;
         }
     }
 
-    /** Notes that none waits any more. */
-    void empty() {
-        since = -1;
+    /** Ends the measurement, because the queue is empty. */
+    void markEmpty() {
+        windowStart = -1;
     }
 
     /**
-     * Notes that a request started.
+     * Records the start of a queued request.
      *
-     * @param now The time.
+     * @param now The current time, in milliseconds.
      */
-    void started(long now) {
+    void recordStart(long now) {
         started++;
-        if (since >= 0 && now - since > WINDOW_MILLIS) {
-            since += (now - since) / 2;
+        if (windowStart >= 0 && now - windowStart > WINDOW_MILLIS) {
+            windowStart += (now - windowStart) / 2;
             started /= 2;
         }
     }
 
     /**
-     * Estimates how long a request at some place would wait.
+     * Estimates the wait of a request in the queue.
      *
-     * @param ahead How many requests wait before it.
-     * @param now The time.
-     * @return The time in milliseconds, 0 as long as nothing is known.
+     * @param ahead The number of requests ahead of it.
+     * @param now The current time, in milliseconds.
+     * @return The wait in milliseconds, 0 if the measurement is too short.
      */
     long estimateMillis(int ahead, long now) {
-        long elapsed = now - since;
-        if (since < 0 || elapsed < MIN_MILLIS || started < MIN_STARTED) {
+        long elapsed = now - windowStart;
+        if (windowStart < 0 || elapsed < MIN_MILLIS || started < MIN_STARTED) {
             return 0;
         }
         return (long) ((ahead + 1) * elapsed / started);
--- a/src/main/java/org/martenwell/admission/FleetRetryBudget.java
+++ b/src/main/java/org/martenwell/admission/FleetRetryBudget.java
@@ -4,41 +4,40 @@
 import java.util.Deque;
 
 /**
- * One gateway's part of the retries that a fleet may make. In any window the fleet may make a share
- * of its requests and an allowance. Each gateway makes the share of its own requests and its part
- * of the allowance by members; nothing of the allowance in the first window after its start, since
- * the process before it may have used that up.
+ * One gateway's part of the fleet's retry budget: in any window, a share of the gateway's own
+ * requests and an equal part of the fleet's fixed allowance. During the first window after its
+ * start a gateway gets no part of the allowance, because its predecessor may have used it up.
  */
 public final class FleetRetryBudget {
 
-    /** The part of what is allowed that is used, so that windows that differ do no harm. */
-    private static final double USED = 0.7;
+    /** The part of the budget that is used, a margin for the differing windows of gateways. */
+    private static final double UTILISATION = 0.7;
 
-    /** The share of requests. */
+    /** The retries allowed per request. */
     private final double share;
 
-    /** The allowance of the fleet. */
+    /** The additional retries that the fleet may make in a window. */
     private final double allowance;
 
-    /** The window in milliseconds. */
+    /** The length of the sliding window, in milliseconds. */
     private final long windowMillis;
 
-    /** When the budget was created, in milliseconds. */
+    /** The time at which the budget was created, in milliseconds. */
     private final long createdMillis;
 
-    /** When requests of the last window came, in milliseconds. */
-    private final Deque<Long> fresh = new ArrayDeque<>();
+    /** The times of first attempts within the window, in milliseconds. */
+    private final Deque<Long> firstAttempts = new ArrayDeque<>();
 
-    /** When retries of the last window were made, in milliseconds. */
+    /** The times of retries within the window, in milliseconds. */
     private final Deque<Long> retries = new ArrayDeque<>();
 
     /**
      * Creates a budget.
      *
-     * @param share How many retries the fleet may make for each request.
-     * @param allowance How many it may make besides in a window.
-     * @param windowMillis The window in milliseconds.
-     * @param now The present time, in milliseconds.
+     * @param share The retries allowed per request.
+     * @param allowance The additional retries that the fleet may make in a window.
+     * @param windowMillis The length of the sliding window, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public FleetRetryBudget(double share, double allowance, long windowMillis, long now) {
         this.share = share;
@@ -48,40 +47,36 @@
     }
 
     /**
-     * Counts a request that is sent for the first time.
+     * Counts the first attempt of a request.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      */
     public void countFresh(long now) {
-        fresh.add(now);
-        trim(now);
+        firstAttempts.add(now);
+        removeExpired(now);
     }
 
     /**
      * Takes a retry from the budget.
      *
-     * @param members How many gateways the fleet has.
-     * @param now The present time, in milliseconds.
-     * @return {@code true} if it is allowed.
+     * @param members The number of gateways in the fleet.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if the retry is allowed.
      */
     public boolean takeRetry(int members, long now) {
-        trim(now);
-        double own = now - createdMillis < windowMillis ? 0 : allowance / Math.max(1, members);
-        if (retries.size() + 1 > USED * (share * fresh.size() + own)) {
+        removeExpired(now);
+        double ownAllowance =
+                now - createdMillis < windowMillis ? 0 : allowance / Math.max(1, members);
+        if (retries.size() + 1 > UTILISATION * (share * firstAttempts.size() + ownAllowance)) {
             return false;
         }
         retries.add(now);
         return true;
     }
 
-    /**
-     * Forgets what is older than the window.
-     *
-     * @param now The present time, in milliseconds.
-     */
-    private void trim(long now) {
-        while (!fresh.isEmpty() && now - fresh.peek() > windowMillis) {
-            fresh.poll();
+    private void removeExpired(long now) {
+        while (!firstAttempts.isEmpty() && now - firstAttempts.peek() > windowMillis) {
+            firstAttempts.poll();
         }
         while (!retries.isEmpty() && now - retries.peek() > windowMillis) {
             retries.poll();
--- a/src/main/java/org/martenwell/admission/RetryBudget.java
+++ b/src/main/java/org/martenwell/admission/RetryBudget.java
@@ -1,63 +1,55 @@
 package org.martenwell.admission;
 
 /**
- * Bounds retries to a share of fresh requests, so that a failing target, failure domain or platform
- * starts no storm of retries.
+ * Limits retries to a share of first attempts, so that the failure of a target, a failure domain or
+ * the platform doesn't cause a retry storm.
  */
 public final class RetryBudget {
 
-    /** How many retries a fresh request pays for. */
-    private static final double SHARE = 0.1;
+    /** The retries earned by a first attempt. */
+    private static final double RETRIES_PER_REQUEST = 0.1;
 
-    /** The most retries saved up. */
-    private static final double MAX_SAVED = 20;
+    /** The most retries that can be saved for a burst of failures. */
+    private static final double MAX_CREDIT = 20;
 
-    /** The retries at hand. */
-    private double saved = MAX_SAVED;
+    /** The retries that may be made now. */
+    private double credit = MAX_CREDIT;
 
-    /** The fresh requests counted. */
-    private long fresh;
+    /** The number of first attempts counted. */
+    private long firstAttempts;
 
-    /** The retries allowed. */
+    /** The number of retries allowed. */
     private long retries;
 
     /** Creates a full budget. */
     public RetryBudget() {}
 
-    /** Counts a fresh request. */
+    /** Counts the first attempt of a request. */
     public void countFresh() {
-        fresh++;
-        saved = Math.min(MAX_SAVED, saved + SHARE);
+        firstAttempts++;
+        credit = Math.min(MAX_CREDIT, credit + RETRIES_PER_REQUEST);
     }
 
     /**
      * Takes a retry from the budget.
      *
-     * @return {@code true} if it is allowed.
+     * @return {@code true} if the retry is allowed.
      */
     public boolean takeRetry() {
-        if (saved < 1) {
+        if (credit < 1) {
             return false;
         }
-        saved--;
+        credit--;
         retries++;
         return true;
     }
 
-    /**
-     * Returns how many fresh requests were counted.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of first attempts counted} */
     public long fresh() {
-        return fresh;
+        return firstAttempts;
     }
 
-    /**
-     * Returns how many retries were allowed.
-     *
-     * @return The number of retries.
-     */
+    /** {@return the number of retries allowed} */
     public long retries() {
         return retries;
     }
--- a/src/main/java/org/martenwell/admission/TokenBucket.java
+++ b/src/main/java/org/martenwell/admission/TokenBucket.java
@@ -1,36 +1,36 @@
 package org.martenwell.admission;
 
-/** Allows a steady rate with bursts. */
+/** Token bucket that limits a rate and permits bursts. */
 final class TokenBucket {
 
-    /** The tokens at hand. */
+    /** The tokens available at {@link #refilledAt}. */
     private double tokens;
 
-    /** When they were last counted. */
-    private long countedAt;
+    /** The time of the last refill, in milliseconds. */
+    private long refilledAt;
 
     /**
      * Creates a full bucket.
      *
-     * @param burst The most tokens.
-     * @param now The time.
+     * @param burst The capacity of the bucket.
+     * @param now The current time, in milliseconds.
      */
     TokenBucket(double burst, long now) {
         tokens = burst;
-        countedAt = now;
+        refilledAt = now;
     }
 
     /**
-     * Takes a token.
+     * Takes a token if one is available.
      *
-     * @param perSecond How many tokens come a second.
-     * @param burst The most tokens.
-     * @param now The time.
-     * @return 0 if there was one, else the time until there is one, in milliseconds.
+     * @param perSecond The tokens added per second.
+     * @param burst The capacity of the bucket.
+     * @param now The current time, in milliseconds.
+     * @return 0 if a token was taken, otherwise the time until one is available, in milliseconds.
      */
     long take(double perSecond, double burst, long now) {
-        tokens = Math.min(burst, tokens + Math.max(0, now - countedAt) * perSecond / 1000);
-        countedAt = Math.max(countedAt, now);
+        tokens = Math.min(burst, tokens + Math.max(0, now - refilledAt) * perSecond / 1000);
+        refilledAt = Math.max(refilledAt, now);
         if (tokens >= 1) {
             tokens--;
             return 0;
--- a/src/test/java/org/martenwell/admission/AdmissionControlTest.java
+++ b/src/test/java/org/martenwell/admission/AdmissionControlTest.java
@@ -17,18 +17,18 @@
     private final AdmissionControl control = new AdmissionControl(6, 1_000);
 
     @Test
-    void testRateAllowsABurstAndThenRefusesWithATime() {
+    void testRateAllowsABurstThenRejectsWithRetryAfter() {
         for (int index = 0; index < 3; index++) {
             control.admitRate("a", CONTRACT, 0);
         }
-        MartenwellException refused = refusal(() -> control.admitRate("a", CONTRACT, 0));
-        assertThat(refused.kind()).isEqualTo(ErrorKind.RATE_EXCEEDED);
-        assertThat(refused.retryAfterMillis()).hasValue(500);
+        MartenwellException rejection = rejectionOf(() -> control.admitRate("a", CONTRACT, 0));
+        assertThat(rejection.kind()).isEqualTo(ErrorKind.RATE_EXCEEDED);
+        assertThat(rejection.retryAfterMillis()).hasValue(500);
         control.admitRate("a", CONTRACT, 500);
     }
 
     @Test
-    void testRateOfOneOrganisationDoesNotTouchAnother() {
+    void testRatesOfOrganisationsAreIndependent() {
         for (int index = 0; index < 3; index++) {
             control.admitRate("a", CONTRACT, 0);
         }
@@ -36,40 +36,42 @@
     }
 
     @Test
-    void testFloodFillsOnlyItsOwnQueue() {
+    void testFullQueueDoesNotAffectOtherOrganisations() {
         for (int index = 0; index < 4; index++) {
             control.admitWaiting("a", CONTRACT, 10, 0);
         }
-        MartenwellException refused = refusal(() -> control.admitWaiting("a", CONTRACT, 10, 0));
-        assertThat(refused.kind()).isEqualTo(ErrorKind.QUEUE_FULL);
-        assertThat(refused.outcome()).isEqualTo(Outcome.NOT_RUN);
+        MartenwellException rejection =
+                rejectionOf(() -> control.admitWaiting("a", CONTRACT, 10, 0));
+        assertThat(rejection.kind()).isEqualTo(ErrorKind.QUEUE_FULL);
+        assertThat(rejection.outcome()).isEqualTo(Outcome.NOT_RUN);
         control.admitWaiting("b", CONTRACT, 10, 0);
     }
 
     @Test
-    void testMemoryOfWaitingRequestsIsBounded() {
+    void testMemoryOfQueuedRequestsIsBounded() {
         control.admitWaiting("a", CONTRACT, 900, 0);
-        assertThat(refusal(() -> control.admitWaiting("b", CONTRACT, 101, 0)).kind())
+        assertThat(rejectionOf(() -> control.admitWaiting("b", CONTRACT, 101, 0)).kind())
                 .isEqualTo(ErrorKind.ROUTER_FULL);
         control.endWaiting("a", 900, true, 0);
         control.admitWaiting("b", CONTRACT, 101, 0);
     }
 
     @Test
-    void testRequestThatCannotStartInTimeIsRefusedAtOnce() {
+    void testRequestThatWouldWaitTooLongIsRejected() {
         control.admitWaiting("a", CONTRACT, 1, 0);
         for (int index = 1; index <= 10; index++) {
             control.admitWaiting("a", CONTRACT, 1, index * 400L);
             control.endWaiting("a", 1, true, index * 400L);
         }
         control.admitWaiting("a", CONTRACT, 1, 4_000);
-        MartenwellException refused = refusal(() -> control.admitWaiting("a", CONTRACT, 1, 4_000));
-        assertThat(refused.kind()).isEqualTo(ErrorKind.WAIT_TOO_LONG);
-        assertThat(refused.retryAfterMillis().getAsLong()).isBetween(100L, 2_000L);
+        MartenwellException rejection =
+                rejectionOf(() -> control.admitWaiting("a", CONTRACT, 1, 4_000));
+        assertThat(rejection.kind()).isEqualTo(ErrorKind.WAIT_TOO_LONG);
+        assertThat(rejection.retryAfterMillis().getAsLong()).isBetween(100L, 2_000L);
     }
 
     @Test
-    void testNothingIsRefusedOnAnUnprovenEstimate() {
+    void testTooShortAMeasurementRejectsNothing() {
         control.admitWaiting("a", CONTRACT, 1, 0);
         control.endWaiting("a", 1, true, 3_000);
         control.admitWaiting("a", CONTRACT, 1, 3_000);
@@ -77,7 +79,7 @@
     }
 
     @Test
-    void testRetriesAreAShareOfFreshRequests() {
+    void testRetriesAreAShareOfFirstAttempts() {
         RetryBudget budget = new RetryBudget();
         int allowed = 0;
         for (int index = 0; index < 1_000; index++) {
@@ -87,13 +89,13 @@
         assertThat(allowed).isBetween(100, 121);
     }
 
-    private static MartenwellException refusal(ThrowingCallable action) {
+    private static MartenwellException rejectionOf(ThrowingCallable action) {
         assertThatThrownBy(action).isInstanceOf(MartenwellException.class);
         try {
             action.call();
             return null;
-        } catch (MartenwellException refused) {
-            return refused;
+        } catch (MartenwellException rejection) {
+            return rejection;
         } catch (Throwable other) {
             throw new AssertionError(other);
         }
--- a/src/test/java/org/martenwell/admission/FleetRetryBudgetTest.java
+++ b/src/test/java/org/martenwell/admission/FleetRetryBudgetTest.java
@@ -7,7 +7,7 @@
 class FleetRetryBudgetTest {
 
     @Test
-    void testNothingOfTheAllowanceRightAfterTheStart() {
+    void testNoAllowanceDuringTheFirstWindow() {
         FleetRetryBudget budget = new FleetRetryBudget(0.2, 50, 10_000, 0);
         assertThat(budget.takeRetry(1, 100)).isFalse();
         assertThat(taken(budget, 1, 10_100)).isEqualTo(35);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void testShareFollowsRequestsOfTheWindow() {
+    void testShareCountsRequestsWithinTheWindow() {
         FleetRetryBudget budget = new FleetRetryBudget(0.2, 0, 10_000, 0);
         for (int count = 0; count < 100; count++) {
             budget.countFresh(1_000);
