--- a/src/main/java/org/martenwell/member/Heartbeat.java
+++ b/src/main/java/org/martenwell/member/Heartbeat.java
@@ -3,15 +3,15 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * What a router tells all peers of itself, now and then and on change.
+ * State of a router, which it sends to all peers periodically and on change.
  *
  * @param router The router's name.
- * @param incarnation The router's incarnation, greater after each restart.
- * @param sequence The heartbeat's number within the incarnation.
- * @param address Where the router takes peers' connections.
+ * @param incarnation The router's incarnation, which increases with each restart.
+ * @param sequence The heartbeat's number, increasing within the incarnation.
+ * @param address The address on which the router accepts connections of peers.
  * @param failureDomain The router's failure domain.
- * @param ready {@code true} if the router has a configuration and takes requests.
- * @param configurationVersion The version of the configuration in force there or 0.
+ * @param ready {@code true} if the router has a configuration and accepts requests.
+ * @param configurationVersion The version of the router's active configuration, 0 if there is none.
  */
 public record Heartbeat(
         String router,
--- a/src/main/java/org/martenwell/member/KeeperAssignment.java
+++ b/src/main/java/org/martenwell/member/KeeperAssignment.java
@@ -10,8 +10,9 @@
 import org.martenwell.schedule.KeeperReference;
 
 /**
- * Assigns a keeper to each target by rendezvous hashing, preferring routers of the target's failure
- * domain. When a router comes or goes, only targets that it wins or held change their keeper.
+ * Assigns a coordinator to each target by rendezvous hashing, among the routers of the target's
+ * failure domain if there are any. When a router joins or leaves, only the targets that it wins or
+ * coordinated are reassigned.
  */
 public enum KeeperAssignment {
 
@@ -19,29 +20,29 @@
     INSTANCE;
 
     /**
-     * Assigns keepers.
+     * Assigns coordinators.
      *
      * @param targets The targets.
-     * @param candidates The routers that may keep targets.
-     * @return The keeper of each target, by target; empty if there are no candidates.
+     * @param candidates The routers that may coordinate targets.
+     * @return The coordinators by name of the target, empty if there are no candidates.
      */
     public Map<String, KeeperReference> assign(
             Collection<Target> targets, Collection<KeeperCandidate> candidates) {
-        Map<String, KeeperReference> keepers = new LinkedHashMap<>();
+        Map<String, KeeperReference> coordinators = new LinkedHashMap<>();
         List<KeeperCandidate> all = List.copyOf(candidates);
         for (Target target : targets) {
-            List<KeeperCandidate> near = new ArrayList<>(all);
-            near.removeIf(each -> !each.failureDomain().equals(target.failureDomain()));
-            List<KeeperCandidate> preferred = near.isEmpty() ? all : near;
+            List<KeeperCandidate> local = new ArrayList<>(all);
+            local.removeIf(each -> !each.failureDomain().equals(target.failureDomain()));
+            List<KeeperCandidate> preferred = local.isEmpty() ? all : local;
             for (KeeperCandidate winner :
                     RendezvousHash.best(
                             preferred,
                             1,
                             each -> RendezvousHash.score(each.name(), target.name()))) {
-                keepers.put(
+                coordinators.put(
                         target.name(), new KeeperReference(winner.name(), winner.incarnation()));
             }
         }
-        return keepers;
+        return coordinators;
     }
 }
--- a/src/main/java/org/martenwell/member/KeeperCandidate.java
+++ b/src/main/java/org/martenwell/member/KeeperCandidate.java
@@ -1,7 +1,7 @@
 package org.martenwell.member;
 
 /**
- * A router that may keep targets.
+ * Router that may coordinate targets.
  *
  * @param name The router's name.
  * @param incarnation The router's incarnation.
--- a/src/main/java/org/martenwell/member/Member.java
+++ b/src/main/java/org/martenwell/member/Member.java
@@ -1,19 +1,15 @@
 package org.martenwell.member;
 
 /**
- * A router as another one knows it.
+ * A router in the membership of another one.
  *
- * @param heartbeat Its last heartbeat.
- * @param heardAt When that arrived.
- * @param state What is known of it.
+ * @param heartbeat The last heartbeat.
+ * @param heartbeatAtMillis The time at which the last heartbeat arrived, in milliseconds.
+ * @param state The state of the member.
  */
-public record Member(Heartbeat heartbeat, long heardAt, MemberState state) {
+public record Member(Heartbeat heartbeat, long heartbeatAtMillis, MemberState state) {
 
-    /**
-     * Returns the member's name.
-     *
-     * @return The name.
-     */
+    /** {@return the router's name} */
     public String name() {
         return heartbeat.router();
     }
--- a/src/main/java/org/martenwell/member/MemberState.java
+++ b/src/main/java/org/martenwell/member/MemberState.java
@@ -1,11 +1,11 @@
 package org.martenwell.member;
 
-/** What is known of a member. */
+/** State of a member, according to its heartbeats. */
 public enum MemberState {
 
-    /** Its heartbeats arrive. */
+    /** Heartbeats arrive in time. */
     ALIVE,
 
-    /** Its heartbeats are late. */
+    /** Heartbeats are late; the member is removed unless one arrives. */
     SUSPECTED
 }
--- a/src/main/java/org/martenwell/member/Membership.java
+++ b/src/main/java/org/martenwell/member/Membership.java
@@ -13,31 +13,31 @@
 import org.martenwell.objects.BoxRole;
 
 /**
- * The routers that one router counts as members. The platform's list only tells whom to call;
- * heartbeats decide who is there.
+ * View that one router has of the members of its fleet. A router becomes a member by its first
+ * heartbeat; the boxes listed by the platform only provide addresses to connect to.
  */
 public final class Membership {
 
-    /** This router's name. */
+    /** The name of this router. */
     private final String self;
 
-    /** The times that tune membership. */
+    /** The times of failure detection. */
     private final MembershipParameters parameters;
 
     /** The members other than this router, by name. */
     private final Map<String, Member> members = new TreeMap<>();
 
-    /** The newest incarnation seen by name, also of those that were removed. */
+    /** The latest incarnation of each router by name, including removed ones. */
     private final Map<String, Long> incarnations = new TreeMap<>();
 
-    /** The addresses of other routers by name, from the platform's list. */
+    /** The addresses of the other routers listed by the platform, by name. */
     private final Map<String, String> listed = new LinkedHashMap<>();
 
     /**
-     * Creates a membership of one.
+     * Creates a membership that contains only this router.
      *
-     * @param self This router's name.
-     * @param parameters The times that tune membership.
+     * @param self The name of this router.
+     * @param parameters The times of failure detection.
      */
     public Membership(String self, MembershipParameters parameters) {
         this.self = self;
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Takes in the platform's list.
+     * Replaces the routers listed by the platform.
      *
-     * @param boxes The boxes.
+     * @param boxes All boxes listed; those of other roles are ignored.
      */
     public void listed(Collection<Box> boxes) {
         listed.clear();
@@ -59,15 +59,16 @@
     }
 
     /**
-     * Takes in a heartbeat.
+     * Applies a heartbeat. Ignores this router's own ones and those older than the last one
+     * applied.
      *
      * @param heartbeat The heartbeat.
-     * @param now The time.
-     * @return {@code true} if who is a member, or what is known of one, changed.
+     * @param now The current time, in milliseconds.
+     * @return {@code true} if a member joined, recovered, restarted or changed its readiness.
      */
     public boolean heard(Heartbeat heartbeat, long now) {
         String name = heartbeat.router();
-        if (name.equals(self) || isOld(heartbeat)) {
+        if (name.equals(self) || isOutdated(heartbeat)) {
             return false;
         }
         incarnations.put(name, heartbeat.incarnation());
@@ -79,54 +80,49 @@
     }
 
     /**
-     * Suspects and removes members whose heartbeats are late.
+     * Suspects or removes members whose heartbeats are late.
      *
-     * @param now The time.
-     * @return The members removed, and whether others are newly suspected.
+     * @param now The current time, in milliseconds.
+     * @return The changes.
      */
     public MembershipChange expire(long now) {
         List<String> removed = new ArrayList<>();
         boolean suspected = false;
         for (Member member : List.copyOf(members.values())) {
-            long silence = now - member.heardAt();
-            if (silence >= parameters.removeMillis()) {
+            long elapsed = now - member.heartbeatAtMillis();
+            if (elapsed >= parameters.removeMillis()) {
                 members.remove(member.name());
                 removed.add(member.name());
-            } else if (silence >= parameters.suspectMillis()
+            } else if (elapsed >= parameters.suspectMillis()
                     && member.state() == MemberState.ALIVE) {
                 suspected = true;
                 members.put(
                         member.name(),
-                        new Member(member.heartbeat(), member.heardAt(), MemberState.SUSPECTED));
+                        new Member(
+                                member.heartbeat(),
+                                member.heartbeatAtMillis(),
+                                MemberState.SUSPECTED));
             }
         }
         return new MembershipChange(removed, suspected);
     }
 
-    /**
-     * Returns the members other than this router.
-     *
-     * @return The members by name.
-     */
+    /** {@return a copy of the members other than this router, by name} */
     public Map<String, Member> others() {
         return new TreeMap<>(members);
     }
 
     /**
-     * Finds a member other than this router.
+     * Returns a member other than this router.
      *
-     * @param name The member's name.
-     * @return The member.
+     * @param name The name of the router.
+     * @return The member, empty if the router isn't a member.
      */
     public Optional<Member> find(String name) {
         return Optional.ofNullable(members.get(name));
     }
 
-    /**
-     * Returns the names of all members, this router included.
-     *
-     * @return The names.
-     */
+    /** {@return the names of all members, including this router} */
     public Set<String> names() {
         Set<String> names = new LinkedHashSet<>(members.keySet());
         names.add(self);
@@ -134,9 +130,10 @@
     }
 
     /**
-     * Returns the addresses of routers to call.
+     * Returns the addresses of the routers to connect to.
      *
-     * @return The addresses by name, of those on the list and of members.
+     * @return The addresses of listed routers and of members, by name. The address in a member's
+     *     heartbeat takes precedence.
      */
     public Map<String, String> addresses() {
         Map<String, String> addresses = new LinkedHashMap<>(listed);
@@ -146,27 +143,18 @@
         return addresses;
     }
 
-    /**
-     * Returns the names of other routers on the platform's list.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the other routers listed by the platform} */
     public Set<String> listedNames() {
         return Set.copyOf(listed.keySet());
     }
 
-    /**
-     * Returns whether a heartbeat is older than one heard before.
-     *
-     * @param heartbeat The heartbeat.
-     * @return {@code true} if it is.
-     */
-    private boolean isOld(Heartbeat heartbeat) {
-        long newest = incarnations.getOrDefault(heartbeat.router(), Long.MIN_VALUE);
+    /** Returns {@code true} unless a heartbeat is newer than those applied before. */
+    private boolean isOutdated(Heartbeat heartbeat) {
+        long latest = incarnations.getOrDefault(heartbeat.router(), Long.MIN_VALUE);
         Member member = members.get(heartbeat.router());
-        boolean sameLife =
+        boolean sameIncarnation =
                 member != null && member.heartbeat().incarnation() == heartbeat.incarnation();
-        return heartbeat.incarnation() < newest
-                || (sameLife && heartbeat.sequence() <= member.heartbeat().sequence());
+        return heartbeat.incarnation() < latest
+                || (sameIncarnation && heartbeat.sequence() <= member.heartbeat().sequence());
     }
 }
--- a/src/main/java/org/martenwell/member/MembershipChange.java
+++ b/src/main/java/org/martenwell/member/MembershipChange.java
@@ -3,18 +3,14 @@
 import java.util.List;
 
 /**
- * What late heartbeats changed.
+ * Result of a check for late heartbeats.
  *
- * @param removed The members removed.
- * @param suspected {@code true} if a member is newly suspected.
+ * @param removed The names of the members removed.
+ * @param suspected {@code true} if a member became suspected.
  */
 public record MembershipChange(List<String> removed, boolean suspected) {
 
-    /**
-     * Returns whether anything changed.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if a member was removed or became suspected} */
     public boolean any() {
         return suspected || !removed.isEmpty();
     }
--- a/src/main/java/org/martenwell/member/MembershipParameters.java
+++ b/src/main/java/org/martenwell/member/MembershipParameters.java
@@ -1,15 +1,16 @@
 package org.martenwell.member;
 
 /**
- * The times that tune membership.
+ * Times of failure detection by heartbeats.
  *
- * @param heartbeatMillis How often a router tells of itself.
- * @param suspectMillis After how long without a heartbeat a router is suspected; it keeps its
- *     targets but gets no new ones.
- * @param removeMillis After how long without a heartbeat a router is removed.
+ * @param heartbeatMillis The interval at which a router sends heartbeats, in milliseconds.
+ * @param suspectMillis The time without a heartbeat after which a router is suspected, in
+ *     milliseconds.
+ * @param removeMillis The time without a heartbeat after which a router is removed, in
+ *     milliseconds.
  */
 public record MembershipParameters(long heartbeatMillis, long suspectMillis, long removeMillis) {
 
-    /** The times in use unless a test says otherwise. */
+    /** The times used in production. */
     public static final MembershipParameters DEFAULTS = new MembershipParameters(500, 1_500, 3_000);
 }
--- a/src/main/java/org/martenwell/member/WatcherSelection.java
+++ b/src/main/java/org/martenwell/member/WatcherSelection.java
@@ -4,24 +4,27 @@
 import java.util.List;
 import org.martenwell.hash.RendezvousHash;
 
-/** Selects the few routers of a failure domain that watch the platform for the others. */
+/**
+ * Selects the routers of a failure domain that watch the platform on behalf of the others, by
+ * rendezvous hashing.
+ */
 public enum WatcherSelection {
 
     /** The only instance. */
     INSTANCE;
 
-    /** How many routers of a failure domain watch. */
+    /** The number of watchers per failure domain. */
     private static final int WATCHERS = 2;
 
-    /** What the routers compete for. */
+    /** The item for which the routers' scores are computed. */
     private static final String ITEM = "watch";
 
     /**
-     * Returns whether a router watches.
+     * Returns {@code true} if a router is a watcher of its failure domain.
      *
-     * @param router The router.
-     * @param domain The names of the members in its failure domain, itself included.
-     * @return {@code true} if it does.
+     * @param router The name of the router.
+     * @param domain The names of all members in its failure domain, including itself.
+     * @return {@code true} if the router is selected.
      */
     public boolean watches(String router, Collection<String> domain) {
         return RendezvousHash.best(
--- a/src/main/java/org/martenwell/member/package-info.java
+++ b/src/main/java/org/martenwell/member/package-info.java
@@ -1,2 +1,2 @@
-/** Membership of routers and the assignment of targets to keepers. */
+/** Membership of routers, based on heartbeats, and the assignment of targets to coordinators. */
 package org.martenwell.member;
--- a/src/test/java/org/martenwell/member/KeeperAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/KeeperAssignmentTest.java
@@ -16,37 +16,37 @@
 class KeeperAssignmentTest {
 
     @Test
-    void testKeeperIsOfTheTargetsFailureDomain() {
-        Map<String, KeeperReference> keepers = assign(9);
+    void testCoordinatorIsInTheTargetsFailureDomain() {
+        Map<String, KeeperReference> coordinators = assign(9);
         for (Target target : targets()) {
-            int router = Integer.parseInt(keepers.get(target.name()).name().substring(1));
+            int router = Integer.parseInt(coordinators.get(target.name()).name().substring(1));
             assertThat("domain" + router % 3).isEqualTo(target.failureDomain());
         }
     }
 
     @Test
-    void testOtherDomainsKeepTheTargetsOfAnEmptyOne() {
+    void testTargetsOfADomainWithoutRoutersAreAssigned() {
         List<KeeperCandidate> one = List.of(new KeeperCandidate("r0", 1, "domain0"));
         assertThat(KeeperAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
     }
 
     @Test
-    void testNobodyKeepsWithoutCandidates() {
+    void testNoCandidatesAssignNothing() {
         assertThat(KeeperAssignment.INSTANCE.assign(targets(), List.of())).isEmpty();
     }
 
     @Property(tries = 30, seed = "1")
-    void testOnlyTargetsOfTheLeaverChangeTheirKeeper(
+    void testOnlyTargetsOfARemovedRouterAreReassigned(
             @ForAll @IntRange(min = 6, max = 40) int routers,
-            @ForAll @IntRange(max = 5) int leaver) {
+            @ForAll @IntRange(max = 5) int removed) {
         Map<String, KeeperReference> before = assign(routers);
-        List<KeeperCandidate> rest = candidates(routers);
-        rest.remove(leaver);
-        Map<String, KeeperReference> after = KeeperAssignment.INSTANCE.assign(targets(), rest);
+        List<KeeperCandidate> remaining = candidates(routers);
+        remaining.remove(removed);
+        Map<String, KeeperReference> after = KeeperAssignment.INSTANCE.assign(targets(), remaining);
         before.forEach(
-                (target, keeper) -> {
-                    if (!keeper.name().equals("r" + leaver)) {
-                        assertThat(after.get(target)).isEqualTo(keeper);
+                (target, coordinator) -> {
+                    if (!coordinator.name().equals("r" + removed)) {
+                        assertThat(after.get(target)).isEqualTo(coordinator);
                     }
                 });
     }
--- a/src/test/java/org/martenwell/member/MembershipTest.java
+++ b/src/test/java/org/martenwell/member/MembershipTest.java
@@ -13,7 +13,7 @@
     private final Membership membership = new Membership("self", MembershipParameters.DEFAULTS);
 
     @Test
-    void testListAloneMakesNoMember() {
+    void testListedRouterIsNoMemberWithoutAHeartbeat() {
         membership.listed(
                 List.of(new Box("peer", BoxRole.ROUTER, "127.0.0.1:1", "a", BoxState.LIVE)));
         assertThat(membership.names()).containsExactly("self");
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void testSilentMemberIsSuspectedBeforeItIsRemoved() {
+    void testMemberWithoutHeartbeatsIsSuspectedThenRemoved() {
         membership.heard(heartbeat(1, 1, true), 0);
         assertThat(membership.expire(1_499).any()).isFalse();
         assertThat(membership.expire(1_500).suspected()).isTrue();
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void testSuspectedMemberComesBack() {
+    void testHeartbeatClearsSuspicion() {
         membership.heard(heartbeat(1, 1, true), 0);
         membership.expire(1_500);
         assertThat(membership.heard(heartbeat(1, 2, true), 1_600)).isTrue();
@@ -45,14 +45,14 @@
     }
 
     @Test
-    void testHeartbeatThatComesLateIsIgnored() {
+    void testReorderedHeartbeatIsIgnored() {
         membership.heard(heartbeat(1, 5, true), 0);
         assertThat(membership.heard(heartbeat(1, 4, false), 10)).isFalse();
         assertThat(membership.find("peer").orElseThrow().heartbeat().ready()).isTrue();
     }
 
     @Test
-    void testRemovedIncarnationCanRejoin() {
+    void testRemovedMemberCanRejoin() {
         membership.heard(heartbeat(1, 5, true), 0);
         membership.expire(5_000);
         assertThat(membership.heard(heartbeat(1, 6, true), 5_100)).isTrue();
