--- a/src/main/java/org/martenwell/policy/PolicyCompiler.java
+++ b/src/main/java/org/martenwell/policy/PolicyCompiler.java
@@ -20,43 +20,44 @@
 import org.martenwell.error.MartenwellException;
 
 /**
- * Compiles policies. A program's cost is bounded by its size: it has no loops, because the only
- * macro is {@code has}, and regular expressions run in time linear in their input.
+ * Compiles CEL expressions to policies. The size of an expression bounds the cost of its
+ * evaluation: {@code has} is the only macro, so there are no comprehensions, and regular
+ * expressions are matched in time linear in their input.
  */
 public enum PolicyCompiler {
 
     /** The only instance. */
     INSTANCE;
 
-    /** The longest program, in characters. */
-    private static final int MAX_CHARACTERS = 4096;
+    /** The greatest length of an expression, in code points. */
+    private static final int MAX_CODE_POINTS = 4096;
 
-    /** The most nodes of a program's syntax tree. */
+    /** The most nodes of the syntax tree. */
     private static final int MAX_NODES = 500;
 
-    /** The deepest nesting of a program. */
+    /** The greatest depth of nesting. */
     private static final int MAX_DEPTH = 50;
 
-    /** The most instructions of a compiled regular expression. */
-    private static final int MAX_EXPRESSION_PROGRAM = 1000;
+    /** The greatest size of a compiled regular expression, in RE2 instructions. */
+    private static final int MAX_REGEX_INSTRUCTIONS = 1000;
 
-    /** The type of a program's result. */
+    /** The result type of an expression. */
     private static final OpaqueType VERDICT = OpaqueType.create("verdict");
 
-    /** Limits on the size of programs. */
+    /** Limits shared by the compiler and the runtime. */
     private static final CelOptions OPTIONS =
             CelOptions.current()
-                    .maxExpressionCodePointSize(MAX_CHARACTERS)
+                    .maxExpressionCodePointSize(MAX_CODE_POINTS)
                     .maxParseExpressionNodeCount(MAX_NODES)
                     .maxParseRecursionDepth(MAX_DEPTH)
-                    .maxRegexProgramSize(MAX_EXPRESSION_PROGRAM)
+                    .maxRegexProgramSize(MAX_REGEX_INSTRUCTIONS)
                     .enableHeterogeneousNumericComparisons(true)
                     .build();
 
-    /** Checks programs. */
+    /** Parses and type-checks expressions. */
     private static final CelCompiler COMPILER = createCompiler();
 
-    /** Plans programs. */
+    /** Plans the evaluation of checked expressions. */
     private static final CelRuntime RUNTIME =
             CelRuntimeFactory.plannerRuntimeBuilder()
                     .setOptions(OPTIONS)
@@ -65,11 +66,6 @@
                             CelFunctionBinding.from("refuse_string", String.class, Verdict::refuse))
                     .build();
 
-    /**
-     * Creates the checker of programs.
-     *
-     * @return The checker.
-     */
     private static CelCompiler createCompiler() {
         CelCompilerBuilder builder =
                 CelCompilerFactory.standardCelCompilerBuilder()
@@ -90,41 +86,35 @@
                                                 VERDICT,
                                                 ImmutableList.of(SimpleType.STRING))));
         for (PolicyVariable variable : PolicyVariable.values()) {
-            builder.addVar(variable.variable(), variable.type());
+            builder.addVar(variable.variableName(), variable.type());
         }
         return builder.build();
     }
 
     /**
-     * Compiles a program, or throws an exception that tells what is wrong with it.
+     * Compiles an expression. Throws an exception of the kind {@link ErrorKind#INVALID_DOCUMENT}
+     * with the compiler's message if the expression is invalid or too large.
      *
-     * @param program The program in CEL.
-     * @return The compiled program.
+     * @param expression The CEL expression.
+     * @return The compiled policy.
      */
-    public PolicyProgram compile(String program) {
+    public PolicyProgram compile(String expression) {
         try {
-            CelAbstractSyntaxTree tree = COMPILER.compile(program).getAst();
+            CelAbstractSyntaxTree tree = COMPILER.compile(expression).getAst();
             CelRuntime.Program planned = RUNTIME.createProgram(tree);
-            return input -> run(planned, input);
+            return input -> evaluate(planned, input);
         } catch (CelValidationException | CelEvaluationException exception) {
             throw MartenwellException.of(
                     ErrorKind.INVALID_DOCUMENT, exception.getMessage(), exception);
         }
     }
 
-    /**
-     * Runs a program.
-     *
-     * @param program The planned program.
-     * @param input What the policy may look at.
-     * @return The verdict.
-     */
-    private static Verdict run(CelRuntime.Program program, PolicyInput input) {
+    private static Verdict evaluate(CelRuntime.Program program, PolicyInput input) {
         try {
             return (Verdict) program.eval(input.variables());
         } catch (CelEvaluationException | RuntimeException exception) {
             throw MartenwellException.of(
-                    ErrorKind.POLICY_FAILED, "The policy failed while it ran.", exception);
+                    ErrorKind.POLICY_FAILED, "The evaluation of the policy failed.", exception);
         }
     }
 }
--- a/src/main/java/org/martenwell/policy/PolicyInput.java
+++ b/src/main/java/org/martenwell/policy/PolicyInput.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 
 /**
- * What a policy may look at.
+ * Properties of a request that a policy can read.
  *
  * @param organisation The organisation's name.
  * @param labels The organisation's labels.
- * @param model The model asked for or an empty string.
- * @param service The plain service asked for or an empty string.
+ * @param model The requested model, empty for plain services.
+ * @param service The requested plain service, empty for models.
  * @param method The HTTP method.
- * @param promptBytes The size of the request's body, in bytes.
+ * @param promptBytes The size of the request body, in bytes.
  * @param minuteOfDay The time of day in UTC, in minutes since midnight.
- * @param dayOfWeek The day of the week in UTC, from 1, Monday, to 7.
- * @param headers The request headers that the configuration names.
+ * @param dayOfWeek The day of the week in UTC, from 1 (Monday) to 7 (Sunday).
+ * @param headers The request headers exposed by the configuration, by name.
  */
 public record PolicyInput(
         String organisation,
@@ -26,21 +26,17 @@
         int dayOfWeek,
         Map<String, String> headers) {
 
-    /**
-     * Returns the values of the program's variables.
-     *
-     * @return The value of each variable of {@link PolicyVariable}.
-     */
+    /** {@return the value of each {@link PolicyVariable}, by its name in expressions} */
     Map<String, Object> variables() {
         return Map.of(
-                PolicyVariable.ORGANISATION.variable(), organisation,
-                PolicyVariable.LABELS.variable(), labels,
-                PolicyVariable.MODEL.variable(), model,
-                PolicyVariable.SERVICE.variable(), service,
-                PolicyVariable.METHOD.variable(), method,
-                PolicyVariable.PROMPT_BYTES.variable(), promptBytes,
-                PolicyVariable.MINUTE_OF_DAY.variable(), (long) minuteOfDay,
-                PolicyVariable.DAY_OF_WEEK.variable(), (long) dayOfWeek,
-                PolicyVariable.HEADERS.variable(), headers);
+                PolicyVariable.ORGANISATION.variableName(), organisation,
+                PolicyVariable.LABELS.variableName(), labels,
+                PolicyVariable.MODEL.variableName(), model,
+                PolicyVariable.SERVICE.variableName(), service,
+                PolicyVariable.METHOD.variableName(), method,
+                PolicyVariable.PROMPT_BYTES.variableName(), promptBytes,
+                PolicyVariable.MINUTE_OF_DAY.variableName(), (long) minuteOfDay,
+                PolicyVariable.DAY_OF_WEEK.variableName(), (long) dayOfWeek,
+                PolicyVariable.HEADERS.variableName(), headers);
     }
 }
--- a/src/main/java/org/martenwell/policy/PolicyProgram.java
+++ b/src/main/java/org/martenwell/policy/PolicyProgram.java
@@ -1,15 +1,15 @@
 package org.martenwell.policy;
 
-/** A compiled policy. */
+/** Compiled policy. */
 @FunctionalInterface
 public interface PolicyProgram {
 
     /**
-     * Decides about a request. A program that fails throws an exception of the kind {@link
-     * org.martenwell.error.ErrorKind#POLICY_FAILED}.
+     * Evaluates the policy for a request. Throws an exception of the kind {@link
+     * org.martenwell.error.ErrorKind#POLICY_FAILED} if the evaluation fails.
      *
-     * @param input What the policy may look at.
-     * @return The verdict.
+     * @param input The properties of the request.
+     * @return The decision.
      */
     Verdict decide(PolicyInput input);
 }
--- a/src/main/java/org/martenwell/policy/PolicyVariable.java
+++ b/src/main/java/org/martenwell/policy/PolicyVariable.java
@@ -5,7 +5,7 @@
 import dev.cel.common.types.SimpleType;
 import java.util.Locale;
 
-/** The variables that a policy program may read. */
+/** Variables of policy expressions. */
 enum PolicyVariable {
 
     /** The organisation's name. */
@@ -14,53 +14,39 @@
     /** The organisation's labels. */
     LABELS(MapType.create(SimpleType.STRING, SimpleType.STRING)),
 
-    /** The model asked for or an empty string. */
+    /** The requested model, empty for plain services. */
     MODEL(SimpleType.STRING),
 
-    /** The plain service asked for or an empty string. */
+    /** The requested plain service, empty for models. */
     SERVICE(SimpleType.STRING),
 
     /** The HTTP method. */
     METHOD(SimpleType.STRING),
 
-    /** The size of the body, in bytes. */
+    /** The size of the request body, in bytes. */
     PROMPT_BYTES(SimpleType.INT),
 
-    /** Minutes since midnight, UTC. */
+    /** The time of day in UTC, in minutes since midnight. */
     MINUTE_OF_DAY(SimpleType.INT),
 
-    /** The day of the week, UTC, Monday being 1. */
+    /** The day of the week in UTC, from 1 (Monday) to 7 (Sunday). */
     DAY_OF_WEEK(SimpleType.INT),
 
-    /** The request headers that the configuration names. */
+    /** The request headers exposed by the configuration, by name. */
     HEADERS(MapType.create(SimpleType.STRING, SimpleType.STRING));
 
-    /** The variable's type. */
     private final CelType type;
 
-    /**
-     * Creates a variable.
-     *
-     * @param type The variable's type.
-     */
     PolicyVariable(CelType type) {
         this.type = type;
     }
 
-    /**
-     * Returns the variable's name in programs.
-     *
-     * @return The constant's name in lower case.
-     */
-    String variable() {
+    /** {@return the variable's name in expressions, which is the constant's name in lower case} */
+    String variableName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /**
-     * Returns the variable's type.
-     *
-     * @return The type.
-     */
+    /** {@return the variable's type in CEL} */
     CelType type() {
         return type;
     }
--- a/src/main/java/org/martenwell/policy/Verdict.java
+++ b/src/main/java/org/martenwell/policy/Verdict.java
@@ -3,31 +3,31 @@
 import java.util.Optional;
 
 /**
- * What a policy decided about a request.
+ * Decision of a policy about a request.
  *
- * @param priority The priority if admitted, from 0, the least urgent, to 9.
- * @param refusal The reason if refused.
+ * @param priority The priority from 0 (lowest) to 9 (highest), 0 for rejected requests.
+ * @param refusal The reason for a rejection, empty if the request is accepted.
  */
 public record Verdict(int priority, Optional<String> refusal) {
 
-    /** The greatest priority. */
+    /** The highest priority. */
     public static final int MAX_PRIORITY = 9;
 
     /**
-     * Returns a verdict that admits a request.
+     * Creates a decision that accepts a request. Bound to the CEL function {@code allow}.
      *
-     * @param priority The wanted priority, brought into the allowed range.
-     * @return The verdict.
+     * @param priority The priority, clamped to the range from 0 to {@link #MAX_PRIORITY}.
+     * @return The decision.
      */
     public static Verdict allow(long priority) {
         return new Verdict((int) Math.max(0, Math.min(MAX_PRIORITY, priority)), Optional.empty());
     }
 
     /**
-     * Returns a verdict that refuses a request.
+     * Creates a decision that rejects a request. Bound to the CEL function {@code refuse}.
      *
-     * @param reason The reason told to the caller.
-     * @return The verdict.
+     * @param reason The reason sent to the caller.
+     * @return The decision.
      */
     public static Verdict refuse(String reason) {
         return new Verdict(0, Optional.of(reason));
--- a/src/main/java/org/martenwell/policy/package-info.java
+++ b/src/main/java/org/martenwell/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Policies: short CEL programs that admit requests with a priority or refuse them. */
+/** Admission policies: CEL expressions that accept requests with a priority or reject them. */
 package org.martenwell.policy;
--- a/src/main/java/org/martenwell/route/EngineTerms.java
+++ b/src/main/java/org/martenwell/route/EngineTerms.java
@@ -1,10 +1,10 @@
 package org.martenwell.route;
 
 /**
- * What the model engines of a service can hold.
+ * Capacity of each model engine of a service.
  *
- * @param slots How many requests one runs at a time.
- * @param memoryTokens How many tokens one keeps.
- * @param copies Whether one can copy parts of prompts from another.
+ * @param slots The number of requests that an engine runs concurrently.
+ * @param memoryTokens The capacity of an engine's KV cache, in tokens.
+ * @param copies {@code true} if an engine can copy cached prompt parts from another engine.
  */
 public record EngineTerms(int slots, long memoryTokens, boolean copies) {}
--- a/src/main/java/org/martenwell/route/GatewayConfiguration.java
+++ b/src/main/java/org/martenwell/route/GatewayConfiguration.java
@@ -6,15 +6,16 @@
 import org.martenwell.exchange.ConnectionLimits;
 
 /**
- * A whole configuration of gateways.
+ * Configuration that all gateways of a fleet share.
  *
- * @param version The version; later ones are greater.
+ * @param version The version, which increases with each change.
  * @param routes The routes.
  * @param services The services by name.
- * @param limits What callers may send.
- * @param tokensPerSecond How many tokens all targets together produce in a second, or 0.
- * @param keyed Whether requests need keys on routes that are not anonymous.
- * @param keys The organisations by key.
+ * @param limits The limits on connections and requests of callers.
+ * @param tokensPerSecond The tokens that all targets together can generate per second, 0 if not
+ *     configured.
+ * @param keyed {@code true} if requests need an API key, except on anonymous routes.
+ * @param keys The organisations by API key.
  */
 public record GatewayConfiguration(
         long version,
@@ -28,8 +29,8 @@
     /**
      * Returns a service.
      *
-     * @param name The name.
-     * @return The service or empty if it is not configured.
+     * @param name The name of the service.
+     * @return The service, empty if it isn't configured.
      */
     public Optional<ServiceTerms> service(String name) {
         return Optional.ofNullable(services.get(name));
--- a/src/main/java/org/martenwell/route/OrganisationTerms.java
+++ b/src/main/java/org/martenwell/route/OrganisationTerms.java
@@ -1,9 +1,9 @@
 package org.martenwell.route;
 
 /**
- * An organisation.
+ * Configuration of an organisation that has API keys.
  *
- * @param name The name.
- * @param priority The rank of its requests; 0 is the highest.
+ * @param name The name of the organisation.
+ * @param priority The priority of its requests; 0 is the highest.
  */
 public record OrganisationTerms(String name, int priority) {}
--- a/src/main/java/org/martenwell/route/Route.java
+++ b/src/main/java/org/martenwell/route/Route.java
@@ -3,20 +3,22 @@
 import java.util.List;
 
 /**
- * A route: which requests it takes and how they are served.
+ * Rule that selects requests by host and path, and the way in which they are served.
  *
- * @param name The name.
- * @param host The host that callers name.
- * @param pathPrefix The prefix of the paths; it begins and ends with a slash.
- * @param type The kind of requests.
- * @param timeoutMillis How long a request may be held, in milliseconds.
- * @param objectiveMillis Within which time an answer is in time, in milliseconds.
- * @param priority The rank; 0 is the highest.
- * @param services The services and their parts.
- * @param maxAttempts To how many targets a request may be sent.
- * @param anonymous Whether requests need no key.
- * @param resumable Whether a stream may be taken up at another target.
- * @param pauseMillis The longest pause between events that is in time, in milliseconds, or 0.
+ * @param name The name of the route.
+ * @param host The host that the requests name, without a port.
+ * @param pathPrefix The prefix of the request paths, which begins and ends with a slash.
+ * @param type The type, which decides whether requests may be retried.
+ * @param timeoutMillis The time from the arrival of a request to its deadline, in milliseconds.
+ * @param objectiveMillis The latency objective (SLO) of a response or its first event, in
+ *     milliseconds.
+ * @param priority The priority; 0 is the highest.
+ * @param services The services among which requests are split, and their weights.
+ * @param maxAttempts The most attempts for a request, including the first.
+ * @param anonymous {@code true} if requests need no API key.
+ * @param resumable {@code true} if an interrupted stream may be resumed on another target.
+ * @param pauseMillis The latency objective between events of a stream, in milliseconds, 0 if there
+ *     is none.
  */
 public record Route(
         String name,
@@ -32,27 +34,23 @@
         boolean resumable,
         long pauseMillis) {
 
-    /**
-     * Returns whether a request may run again.
-     *
-     * @return {@code true} if it may.
-     */
+    /** {@return {@code true} if a request may run more than once} */
     public boolean repeatable() {
         return type.repeatable(resumable);
     }
 
     /**
-     * Chooses a service.
+     * Selects a service according to the weights.
      *
-     * @param point A number from 0 (inclusive) to 1 (exclusive).
-     * @return The name of the service at that point of the weights.
+     * @param point A random number from 0 (inclusive) to 1 (exclusive).
+     * @return The name of the service.
      */
     public String service(double point) {
         double total = services.stream().mapToDouble(WeightedService::weight).sum();
-        double left = point * total;
+        double remaining = point * total;
         for (WeightedService each : services) {
-            left -= each.weight();
-            if (left < 0) {
+            remaining -= each.weight();
+            if (remaining < 0) {
                 return each.service();
             }
         }
--- a/src/main/java/org/martenwell/route/RouteTable.java
+++ b/src/main/java/org/martenwell/route/RouteTable.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds the route of a request: the longest prefix of its path among the routes of its host. */
+/** Lookup of routes by host and longest path prefix. */
 public final class RouteTable {
 
-    /** The routes by host, the longest prefix first. */
+    /** The routes by host in lower case, longest prefix first. */
     private final Map<String, List<Route>> routes = new HashMap<>();
 
     /**
      * Creates a table.
      *
-     * @param all All routes.
+     * @param all The routes, in any order.
      */
     public RouteTable(List<Route> all) {
         for (Route each : all) {
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Finds a route.
+     * Returns the route of a request.
      *
-     * @param host The host as the caller named it, with or without a port.
-     * @param path The path.
-     * @return The route or empty if there is none.
+     * @param host The host of the request, with or without a port, in any case.
+     * @param path The path of the request.
+     * @return The route with the longest matching prefix, empty if none matches.
      */
     public Optional<Route> find(String host, String path) {
         String name = host.toLowerCase(Locale.ROOT);
--- a/src/main/java/org/martenwell/route/RouteType.java
+++ b/src/main/java/org/martenwell/route/RouteType.java
@@ -1,22 +1,22 @@
 package org.martenwell.route;
 
-/** What kind of requests a route takes. */
+/** Type of the requests of a route. */
 public enum RouteType {
 
-    /** Requests that may run more than once. */
+    /** Idempotent requests, which may run more than once. */
     IDEMPOTENT,
 
-    /** Requests that run at most once. */
+    /** Requests that must run at most once. */
     NON_IDEMPOTENT,
 
-    /** Requests that are answered by a stream of events. */
+    /** Requests whose response is a stream of events. */
     STREAMING;
 
     /**
-     * Returns whether a request may run again.
+     * Returns {@code true} if a request may run more than once.
      *
-     * @param resumable Whether streams of the route may be resumed.
-     * @return {@code true} if it may.
+     * @param resumable {@code true} if streams of the route may be resumed.
+     * @return {@code true} for idempotent requests and resumable streams.
      */
     public boolean repeatable(boolean resumable) {
         return this == IDEMPOTENT || (this == STREAMING && resumable);
--- a/src/main/java/org/martenwell/route/ServiceTerms.java
+++ b/src/main/java/org/martenwell/route/ServiceTerms.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A service.
+ * Configuration of a service.
  *
- * @param name The name.
- * @param maxConnections How many connections a target takes from all callers.
- * @param engine What its model engines hold, or empty for a plain service.
+ * @param name The name of the service.
+ * @param maxConnections The most connections that each target accepts.
+ * @param engine The capacity of the model engines, empty for a plain service.
  */
 public record ServiceTerms(String name, int maxConnections, Optional<EngineTerms> engine) {}
--- a/src/main/java/org/martenwell/route/WeightedService.java
+++ b/src/main/java/org/martenwell/route/WeightedService.java
@@ -1,9 +1,9 @@
 package org.martenwell.route;
 
 /**
- * A service and its part of a route's requests.
+ * Service with its share of a route's requests.
  *
- * @param service The service's name.
- * @param weight The part, relative to the other weights.
+ * @param service The name of the service.
+ * @param weight The share, relative to the weights of the route's other services.
  */
 public record WeightedService(String service, double weight) {}
--- a/src/main/java/org/martenwell/route/package-info.java
+++ b/src/main/java/org/martenwell/route/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configure for gateways: routes, services, keys and limits. Plain values. */
+/** Configuration of gateways: immutable values for routes, services, API keys and limits. */
 package org.martenwell.route;
--- a/src/test/java/org/martenwell/policy/PolicyCompilerTest.java
+++ b/src/test/java/org/martenwell/policy/PolicyCompilerTest.java
@@ -25,18 +25,18 @@
                     Map.of("x-purpose", "report"));
 
     @Test
-    void testVerdictAllowsWithPriority() {
+    void testAllowReturnsThePriority() {
         assertThat(decide("allow(3)").priority()).isEqualTo(3);
     }
 
     @Test
-    void testPriorityIsBroughtIntoRange() {
+    void testPriorityIsClamped() {
         assertThat(decide("allow(99)").priority()).isEqualTo(Verdict.MAX_PRIORITY);
         assertThat(decide("allow(-1)").priority()).isZero();
     }
 
     @Test
-    void testVerdictRefusesWithReason() {
+    void testRefuseReturnsTheReason() {
         assertThat(decide("refuse('at night')").refusal()).contains("at night");
     }
 
@@ -54,7 +54,7 @@
                 "!('x-none' in headers)",
                 "model.matches('^sm.*')"
             })
-    void testInputsCanBeRead(String condition) {
+    void testExpressionReadsInputs(String condition) {
         assertThat(decide(condition + " ? allow(9) : refuse('no')").priority()).isEqualTo(9);
     }
 
@@ -68,34 +68,35 @@
                 "",
                 "[1, 2].all(x, x > 0) ? allow(1) : allow(2)"
             })
-    void testWrongProgramsAreRefused(String program) {
-        assertThatThrownBy(() -> PolicyCompiler.INSTANCE.compile(program))
+    void testInvalidExpressionIsRejected(String expression) {
+        assertThatThrownBy(() -> PolicyCompiler.INSTANCE.compile(expression))
                 .isInstanceOfSatisfying(
                         MartenwellException.class,
-                        refused ->
-                                assertThat(refused.kind()).isEqualTo(ErrorKind.INVALID_DOCUMENT));
+                        exception ->
+                                assertThat(exception.kind()).isEqualTo(ErrorKind.INVALID_DOCUMENT));
     }
 
     @Test
-    void testCostlyProgramsAreRefused() {
-        String long1 = "allow(1" + " + 1".repeat(600) + ")";
-        String long2 = "allow(" + "1".repeat(5_000) + ")";
-        assertThatThrownBy(() -> PolicyCompiler.INSTANCE.compile(long1))
+    void testTooLargeExpressionIsRejected() {
+        String tooManyNodes = "allow(1" + " + 1".repeat(600) + ")";
+        String tooManyCharacters = "allow(" + "1".repeat(5_000) + ")";
+        assertThatThrownBy(() -> PolicyCompiler.INSTANCE.compile(tooManyNodes))
                 .isInstanceOf(MartenwellException.class);
-        assertThatThrownBy(() -> PolicyCompiler.INSTANCE.compile(long2))
+        assertThatThrownBy(() -> PolicyCompiler.INSTANCE.compile(tooManyCharacters))
                 .isInstanceOf(MartenwellException.class);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"labels['none'] == '' ? allow(1) : allow(2)", "allow(1 / 0)"})
-    void testFailureWhileRunningHasItsOwnKind(String program) {
-        assertThatThrownBy(() -> decide(program))
+    void testEvaluationFailureIsReportedAsPolicyFailed(String expression) {
+        assertThatThrownBy(() -> decide(expression))
                 .isInstanceOfSatisfying(
                         MartenwellException.class,
-                        failed -> assertThat(failed.kind()).isEqualTo(ErrorKind.POLICY_FAILED));
+                        exception ->
+                                assertThat(exception.kind()).isEqualTo(ErrorKind.POLICY_FAILED));
     }
 
-    private static Verdict decide(String program) {
-        return PolicyCompiler.INSTANCE.compile(program).decide(INPUT);
+    private static Verdict decide(String expression) {
+        return PolicyCompiler.INSTANCE.compile(expression).decide(INPUT);
     }
 }
--- a/src/test/java/org/martenwell/route/RouteTableTest.java
+++ b/src/test/java/org/martenwell/route/RouteTableTest.java
@@ -16,7 +16,7 @@
                             route("other", "b.example", "/x/")));
 
     @Test
-    void testLongestPrefixOfTheHostWins() {
+    void testLongestPrefixMatches() {
         assertThat(name("a.example", "/x/y/z")).isEqualTo("long");
         assertThat(name("a.example", "/x/z")).isEqualTo("short");
         assertThat(name("a.example", "/z")).isEqualTo("all");
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void testPrefixEndsAtASlashAndHostsAreApart() {
+    void testPrefixMatchesWholeSegmentsOfTheSameHost() {
         assertThat(name("b.example", "/x")).isEqualTo("none");
         assertThat(name("b.example", "/xy/")).isEqualTo("none");
         assertThat(name("c.example", "/x/")).isEqualTo("none");
     }
 
     @Test
-    void testServicesAreChosenByWeight() {
+    void testServiceIsSelectedByWeight() {
         Route route =
                 new Route(
                         "r",
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void testOnlyResumableStreamsAndIdempotentRequestsAreRepeatable() {
+    void testIdempotentRequestsAndResumableStreamsAreRepeatable() {
         assertThat(RouteType.IDEMPOTENT.repeatable(false)).isTrue();
         assertThat(RouteType.NON_IDEMPOTENT.repeatable(true)).isFalse();
         assertThat(RouteType.STREAMING.repeatable(false)).isFalse();
