--- a/src/main/java/org/martenwell/admission/RetryBudget.java
+++ b/src/main/java/org/martenwell/admission/RetryBudget.java
@@ -45,7 +45,7 @@
     }
 
     /** {@return the number of first attempts counted} */
-    public long fresh() {
+    public long firstAttempts() {
         return firstAttempts;
     }
 
