--- a/src/main/java/org/martenwell/balance/GatewayReport.java
+++ b/src/main/java/org/martenwell/balance/GatewayReport.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.martenwell.message.PeerMessage;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.share.ShareCounts;
 
 /**
@@ -28,5 +28,5 @@
         ShareCounts shares,
         List<PlacedPart> placed,
         List<String> leaving,
-        List<QuarantineWord> quarantine)
+        List<QuarantineUpdate> quarantine)
         implements PeerMessage {}
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -15,7 +15,7 @@
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.quarantine.Quarantine;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.quarantine.RequestSummary;
 
 /**
@@ -200,8 +200,8 @@
      *
      * @param words What it tells.
      */
-    void heard(List<QuarantineWord> words) {
-        for (QuarantineWord each : words) {
+    void heard(List<QuarantineUpdate> words) {
+        for (QuarantineUpdate each : words) {
             if (quarantine.heard(each, reactor.currentTimeMillis())) {
                 held(each.fingerprint(), "peer");
             }
@@ -235,10 +235,10 @@
      * @param members How many gateways the fleet has.
      * @return The words.
      */
-    List<QuarantineWord> takeNews(int members) {
+    List<QuarantineUpdate> takeNews(int members) {
         long now = reactor.currentTimeMillis();
         quarantine.decide(now).forEach(each -> held(each, "own"));
-        List<QuarantineWord> words = new ArrayList<>(quarantine.takeNews(now));
+        List<QuarantineUpdate> words = new ArrayList<>(quarantine.takeNews(now));
         if (now >= toldAgainMillis) {
             toldAgainMillis =
                     now + Math.round(TOLD_AGAIN_MILLIS * members * 2 * random.nextDouble());
@@ -252,7 +252,7 @@
      *
      * @return The words.
      */
-    List<QuarantineWord> all() {
+    List<QuarantineUpdate> all() {
         return quarantine.all();
     }
 
--- a/src/main/java/org/martenwell/gateway/ReportMaker.java
+++ b/src/main/java/org/martenwell/gateway/ReportMaker.java
@@ -6,7 +6,7 @@
 import org.martenwell.balance.LoadSums;
 import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoadReport;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.share.ShareCounts;
 
 /** Makes the reports of this gateway. */
@@ -86,7 +86,7 @@
      * @return The report.
      */
     private GatewayReport with(
-            List<PlacedPart> placed, ShareCounts shares, List<QuarantineWord> quarantine) {
+            List<PlacedPart> placed, ShareCounts shares, List<QuarantineUpdate> quarantine) {
         return new GatewayReport(
                 name,
                 incarnation,
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -9,7 +9,7 @@
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.quarantine.WordKind;
 import org.martenwell.share.ShareCounts;
 import org.martenwell.share.ShareSums;
@@ -50,7 +50,7 @@
             writer.name(each);
         }
         writer.count(message.quarantine().size());
-        for (QuarantineWord each : message.quarantine()) {
+        for (QuarantineUpdate each : message.quarantine()) {
             write(each, writer);
         }
     }
@@ -62,7 +62,7 @@
      * @param writer Receives it.
      * @throws IOException Never for a buffer in memory.
      */
-    private static void write(QuarantineWord word, FieldWriter writer) throws IOException {
+    private static void write(QuarantineUpdate word, FieldWriter writer) throws IOException {
         writer.number(word.fingerprint().scope());
         writer.number(word.fingerprint().content());
         writer.number(word.kind().number());
@@ -76,9 +76,9 @@
      * @return What is told.
      * @throws IOException If it ends early.
      */
-    private static QuarantineWord readQuarantineWord(FieldReader reader) throws IOException {
+    private static QuarantineUpdate readQuarantineWord(FieldReader reader) throws IOException {
         Fingerprint fingerprint = new Fingerprint(reader.number(), reader.number());
-        return new QuarantineWord(fingerprint, WordKind.of(reader.smallNumber()), reader.text());
+        return new QuarantineUpdate(fingerprint, WordKind.of(reader.smallNumber()), reader.text());
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -69,7 +69,7 @@
     public boolean ended(Fingerprint fingerprint, String incarnation, long now) {
         boolean added = addCrash(fingerprint, incarnation, now);
         if (added) {
-            updates.add(QuarantineWord.ended(fingerprint, incarnation), now);
+            updates.add(QuarantineUpdate.ended(fingerprint, incarnation), now);
         }
         return added;
     }
@@ -87,7 +87,7 @@
         Suspicion suspicion = suspicions.get(fingerprint);
         if (suspicion != null && suspicion.isSuspected()) {
             clearSuspicion(fingerprint, now);
-            updates.add(QuarantineWord.cleared(fingerprint), now);
+            updates.add(QuarantineUpdate.cleared(fingerprint), now);
         }
         return wasHeld;
     }
@@ -99,7 +99,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if the update quarantined the request.
      */
-    public boolean heard(QuarantineWord update, long now) {
+    public boolean heard(QuarantineUpdate update, long now) {
         Fingerprint fingerprint = update.fingerprint();
         return switch (update.kind()) {
             case TARGET_ENDED -> {
@@ -211,7 +211,7 @@
      * @param now The current time, in milliseconds.
      * @return The updates.
      */
-    public List<QuarantineWord> takeNews(long now) {
+    public List<QuarantineUpdate> takeNews(long now) {
         return updates.take(now);
     }
 
@@ -220,15 +220,15 @@
      *
      * @return All quarantined requests, and the most recent crashes.
      */
-    public List<QuarantineWord> all() {
-        List<QuarantineWord> crashes = new ArrayList<>();
+    public List<QuarantineUpdate> all() {
+        List<QuarantineUpdate> crashes = new ArrayList<>();
         suspicions.forEach(
                 (fingerprint, suspicion) -> {
                     for (String each : suspicion.crashedIncarnations()) {
-                        crashes.add(QuarantineWord.ended(fingerprint, each));
+                        crashes.add(QuarantineUpdate.ended(fingerprint, each));
                     }
                 });
-        List<QuarantineWord> snapshot = new ArrayList<>(heldWords());
+        List<QuarantineUpdate> snapshot = new ArrayList<>(heldWords());
         snapshot.addAll(
                 crashes.subList(
                         Math.max(0, crashes.size() - MAX_SNAPSHOT_CRASHES), crashes.size()));
@@ -236,8 +236,8 @@
     }
 
     /** {@return an update for each quarantined request} */
-    public List<QuarantineWord> heldWords() {
-        return held.stream().map(QuarantineWord::held).toList();
+    public List<QuarantineUpdate> heldWords() {
+        return held.stream().map(QuarantineUpdate::held).toList();
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/QuarantineWord.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -9,7 +9,7 @@
  * @param kind The kind of update.
  * @param life The incarnation of the target that crashed, empty for other kinds.
  */
-public record QuarantineWord(Fingerprint fingerprint, WordKind kind, String life) {
+public record QuarantineUpdate(Fingerprint fingerprint, WordKind kind, String life) {
 
     /**
      * Creates an update that reports the crash of a target.
@@ -18,8 +18,8 @@
      * @param life The incarnation that crashed.
      * @return The update.
      */
-    public static QuarantineWord ended(Fingerprint fingerprint, String life) {
-        return new QuarantineWord(fingerprint, WordKind.TARGET_ENDED, life);
+    public static QuarantineUpdate ended(Fingerprint fingerprint, String life) {
+        return new QuarantineUpdate(fingerprint, WordKind.TARGET_ENDED, life);
     }
 
     /**
@@ -28,8 +28,8 @@
      * @param fingerprint The request.
      * @return The update.
      */
-    public static QuarantineWord cleared(Fingerprint fingerprint) {
-        return new QuarantineWord(fingerprint, WordKind.CLEARED, "");
+    public static QuarantineUpdate cleared(Fingerprint fingerprint) {
+        return new QuarantineUpdate(fingerprint, WordKind.CLEARED, "");
     }
 
     /**
@@ -38,7 +38,7 @@
      * @param fingerprint The request.
      * @return The update.
      */
-    public static QuarantineWord held(Fingerprint fingerprint) {
-        return new QuarantineWord(fingerprint, WordKind.HELD, "");
+    public static QuarantineUpdate held(Fingerprint fingerprint) {
+        return new QuarantineUpdate(fingerprint, WordKind.HELD, "");
     }
 }
--- a/src/main/java/org/martenwell/quarantine/UpdateQueue.java
+++ b/src/main/java/org/martenwell/quarantine/UpdateQueue.java
@@ -26,7 +26,7 @@
      * @param update The update.
      * @param queuedMillis The time at which it was added, in milliseconds.
      */
-    private record Due(QuarantineWord update, long queuedMillis) {}
+    private record Due(QuarantineUpdate update, long queuedMillis) {}
 
     /** Creates an empty queue. */
     UpdateQueue() {
@@ -41,7 +41,7 @@
      * @param update The update.
      * @param now The current time, in milliseconds.
      */
-    void add(QuarantineWord update, long now) {
+    void add(QuarantineUpdate update, long now) {
         due.get(0).add(new Due(update, now));
     }
 
@@ -51,8 +51,8 @@
      * @param now The current time, in milliseconds.
      * @return The updates, those that were never sent first.
      */
-    List<QuarantineWord> take(long now) {
-        List<QuarantineWord> taken = new ArrayList<>();
+    List<QuarantineUpdate> take(long now) {
+        List<QuarantineUpdate> taken = new ArrayList<>();
         for (int sent = 0; sent < SEND_DELAYS_MILLIS.length; sent++) {
             Deque<Due> updates = due.get(sent);
             long queuedBefore = now - SEND_DELAYS_MILLIS[sent];
--- a/src/test/java/org/martenwell/peer/MessageFormsTest.java
+++ b/src/test/java/org/martenwell/peer/MessageFormsTest.java
@@ -20,7 +20,7 @@
 import org.martenwell.member.Heartbeat;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.quarantine.WordKind;
 import org.martenwell.schedule.Demand;
 import org.martenwell.schedule.FailureCount;
@@ -138,9 +138,9 @@
                         .as((asked, begun, within) -> new ShareSums(asked, begun, within));
         Arbitrary<Fingerprint> fingerprints =
                 Combinators.combine(numbers, numbers).as(Fingerprint::new);
-        Arbitrary<QuarantineWord> words =
+        Arbitrary<QuarantineUpdate> words =
                 Combinators.combine(fingerprints, Arbitraries.of(WordKind.class), names)
-                        .as(QuarantineWord::new);
+                        .as(QuarantineUpdate::new);
         Arbitrary<PeerMessage> gatewayReports =
                 Combinators.combine(
                                 names,
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -306,7 +306,7 @@
 
     private void report(int gateway) {
         gateways.get(gateway).decide(now);
-        List<QuarantineWord> updates = new ArrayList<>(gateways.get(gateway).takeNews(now));
+        List<QuarantineUpdate> updates = new ArrayList<>(gateways.get(gateway).takeNews(now));
         if (random.nextDouble() * load.gateways() * 1_000 < load.reportMillis()) {
             updates.addAll(gateways.get(gateway).heldWords());
         }
@@ -315,7 +315,7 @@
         }
     }
 
-    private void send(int gateway, int peer, List<QuarantineWord> updates) {
+    private void send(int gateway, int peer, List<QuarantineUpdate> updates) {
         boolean partitioned =
                 now >= PARTITION_START_MILLIS
                         && now < PARTITION_END_MILLIS
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -41,7 +41,7 @@
     void testRepeatedReportOfOneCrashCountsOnce() {
         for (int times = 0; times < 3; times++) {
             quarantine.ended(HARMFUL, "a", 0);
-            quarantine.heard(QuarantineWord.ended(HARMFUL, "a"), 0);
+            quarantine.heard(QuarantineUpdate.ended(HARMFUL, "a"), 0);
         }
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
     }
@@ -54,7 +54,7 @@
         quarantine.ended(HARMFUL, "c", 800);
         assertThat(quarantine.clear(HARMFUL, 900)).isFalse();
         quarantine.ended(HARMFUL, "d", 1_000);
-        quarantine.heard(QuarantineWord.ended(HARMFUL, "a"), 1_100);
+        quarantine.heard(QuarantineUpdate.ended(HARMFUL, "a"), 1_100);
         assertThat(quarantine.lives(HARMFUL)).isEmpty();
         assertThat(quarantine.decide(2_000)).isEmpty();
     }
@@ -67,8 +67,8 @@
         quarantine.ended(HARMFUL, "c", 90);
         assertThat(quarantine.decide(1_200)).isEmpty();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        quarantine.heard(QuarantineWord.ended(HARMFUL, "b"), 1_250);
-        quarantine.heard(QuarantineWord.ended(HARMFUL, "c"), 1_250);
+        quarantine.heard(QuarantineUpdate.ended(HARMFUL, "b"), 1_250);
+        quarantine.heard(QuarantineUpdate.ended(HARMFUL, "c"), 1_250);
         assertThat(quarantine.lives(HARMFUL)).containsExactly("a");
         quarantine.ended(HARMFUL, "d", 1_300);
         quarantine.ended(HARMFUL, "e", 1_700);
@@ -89,9 +89,9 @@
     void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
         quarantine.hold(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
-        assertThat(quarantine.heard(QuarantineWord.held(HARMFUL), 30_000)).isFalse();
+        assertThat(quarantine.heard(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineWord.cleared(HARMFUL));
+        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
     }
 
     @Test
@@ -100,7 +100,7 @@
         quarantine.ended(HARMFUL, "a", 0);
         assertThat(quarantine.all())
                 .containsExactlyInAnyOrder(
-                        QuarantineWord.held(OTHER), QuarantineWord.ended(HARMFUL, "a"));
+                        QuarantineUpdate.held(OTHER), QuarantineUpdate.ended(HARMFUL, "a"));
     }
 
     /** Guards against an update for every completion of a request that was suspected once. */
@@ -109,7 +109,7 @@
         quarantine.ended(HARMFUL, "a", 0);
         quarantine.takeNews(0);
         quarantine.clear(HARMFUL, 1);
-        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineWord.cleared(HARMFUL));
+        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
         quarantine.clear(HARMFUL, 2);
         assertThat(quarantine.takeNews(2)).isEmpty();
     }
@@ -117,7 +117,7 @@
     @Test
     void testUpdateIsSentThreeTimes() {
         quarantine.ended(HARMFUL, "a", 0);
-        List<QuarantineWord> update = List.of(QuarantineWord.ended(HARMFUL, "a"));
+        List<QuarantineUpdate> update = List.of(QuarantineUpdate.ended(HARMFUL, "a"));
         assertThat(quarantine.takeNews(0)).isEqualTo(update);
         assertThat(quarantine.takeNews(400)).isEmpty();
         assertThat(quarantine.takeNews(600)).isEqualTo(update);
@@ -148,15 +148,15 @@
     @Property(tries = 300, seed = "1")
     void testUpdatesAreIdempotentAndCommutative(
             @ForAll @IntRange(min = 1, max = 5) int crashes, @ForAll long seed) {
-        List<QuarantineWord> updates = new ArrayList<>();
+        List<QuarantineUpdate> updates = new ArrayList<>();
         IntStream.range(0, crashes)
-                .mapToObj(index -> QuarantineWord.ended(HARMFUL, "incarnation-" + index))
+                .mapToObj(index -> QuarantineUpdate.ended(HARMFUL, "incarnation-" + index))
                 .forEach(updates::add);
         updates.addAll(List.copyOf(updates));
         Collections.shuffle(updates, new Random(seed));
         Quarantine fresh = new Quarantine();
         long now = 0;
-        for (QuarantineWord each : updates) {
+        for (QuarantineUpdate each : updates) {
             fresh.heard(each, now);
             now += 400;
         }
