--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -10,7 +10,7 @@
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.QuarantineUpdate;
-import org.martenwell.quarantine.WordKind;
+import org.martenwell.quarantine.QuarantineUpdateKind;
 import org.martenwell.share.ShareCounts;
 import org.martenwell.share.ShareSums;
 
@@ -78,7 +78,8 @@
      */
     private static QuarantineUpdate readQuarantineWord(FieldReader reader) throws IOException {
         Fingerprint fingerprint = new Fingerprint(reader.number(), reader.number());
-        return new QuarantineUpdate(fingerprint, WordKind.of(reader.smallNumber()), reader.text());
+        return new QuarantineUpdate(
+                fingerprint, QuarantineUpdateKind.of(reader.smallNumber()), reader.text());
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -9,7 +9,7 @@
  * @param kind The kind of update.
  * @param life The incarnation of the target that crashed, empty for other kinds.
  */
-public record QuarantineUpdate(Fingerprint fingerprint, WordKind kind, String life) {
+public record QuarantineUpdate(Fingerprint fingerprint, QuarantineUpdateKind kind, String life) {
 
     /**
      * Creates an update that reports the crash of a target.
@@ -19,7 +19,7 @@
      * @return The update.
      */
     public static QuarantineUpdate ended(Fingerprint fingerprint, String life) {
-        return new QuarantineUpdate(fingerprint, WordKind.TARGET_ENDED, life);
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_ENDED, life);
     }
 
     /**
@@ -29,7 +29,7 @@
      * @return The update.
      */
     public static QuarantineUpdate cleared(Fingerprint fingerprint) {
-        return new QuarantineUpdate(fingerprint, WordKind.CLEARED, "");
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.CLEARED, "");
     }
 
     /**
@@ -39,6 +39,6 @@
      * @return The update.
      */
     public static QuarantineUpdate held(Fingerprint fingerprint) {
-        return new QuarantineUpdate(fingerprint, WordKind.HELD, "");
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.HELD, "");
     }
 }
--- a/src/main/java/org/martenwell/quarantine/WordKind.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdateKind.java
@@ -5,7 +5,7 @@
 import org.martenwell.error.MartenwellException;
 
 /** Kind of a quarantine update. */
-public enum WordKind {
+public enum QuarantineUpdateKind {
 
     /** A target crashed while running the request. */
     TARGET_ENDED(1),
@@ -19,7 +19,7 @@
     /** The number of this kind in peer messages. */
     private final int number;
 
-    WordKind(int number) {
+    QuarantineUpdateKind(int number) {
         this.number = number;
     }
 
@@ -30,7 +30,7 @@
      * @param number The number of the kind in peer messages.
      * @return The kind.
      */
-    public static WordKind of(int number) {
+    public static QuarantineUpdateKind of(int number) {
         return Arrays.stream(values())
                 .filter(each -> each.number == number)
                 .findFirst()
--- a/src/test/java/org/martenwell/peer/MessageFormsTest.java
+++ b/src/test/java/org/martenwell/peer/MessageFormsTest.java
@@ -21,7 +21,7 @@
 import org.martenwell.message.PeerMessage;
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.QuarantineUpdate;
-import org.martenwell.quarantine.WordKind;
+import org.martenwell.quarantine.QuarantineUpdateKind;
 import org.martenwell.schedule.Demand;
 import org.martenwell.schedule.FailureCount;
 import org.martenwell.schedule.Holding;
@@ -139,7 +139,7 @@
         Arbitrary<Fingerprint> fingerprints =
                 Combinators.combine(numbers, numbers).as(Fingerprint::new);
         Arbitrary<QuarantineUpdate> words =
-                Combinators.combine(fingerprints, Arbitraries.of(WordKind.class), names)
+                Combinators.combine(fingerprints, Arbitraries.of(QuarantineUpdateKind.class), names)
                         .as(QuarantineUpdate::new);
         Arbitrary<PeerMessage> gatewayReports =
                 Combinators.combine(
