--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -102,7 +102,7 @@
     public boolean heard(QuarantineUpdate update, long now) {
         Fingerprint fingerprint = update.fingerprint();
         return switch (update.kind()) {
-            case TARGET_ENDED -> {
+            case TARGET_CRASHED -> {
                 addCrash(fingerprint, update.life(), now);
                 yield false;
             }
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -19,7 +19,7 @@
      * @return The update.
      */
     public static QuarantineUpdate ended(Fingerprint fingerprint, String life) {
-        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_ENDED, life);
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_CRASHED, life);
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdateKind.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdateKind.java
@@ -8,7 +8,7 @@
 public enum QuarantineUpdateKind {
 
     /** A target crashed while running the request. */
-    TARGET_ENDED(1),
+    TARGET_CRASHED(1),
 
     /** A target completed the request, or an operator released it. */
     CLEARED(2),
