--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -90,7 +90,7 @@
         this.random = random;
         this.ends = new TargetEnds(reactor, this::ended);
         log.metrics().registerGauge("requests_held_back", quarantine::held);
-        log.metrics().registerGauge("targets_ended_under_requests", quarantine::livesKnown);
+        log.metrics().registerGauge("targets_ended_under_requests", quarantine::crashCount);
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -188,7 +188,7 @@
     }
 
     /** {@return the number of crashes that count, summed over all tracked requests} */
-    public int livesKnown() {
+    public int crashCount() {
         return suspicions.values().stream()
                 .mapToInt(each -> each.crashedIncarnations().size())
                 .sum();
