--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -242,7 +242,7 @@
         if (now >= toldAgainMillis) {
             toldAgainMillis =
                     now + Math.round(TOLD_AGAIN_MILLIS * members * 2 * random.nextDouble());
-            words.addAll(quarantine.heldWords());
+            words.addAll(quarantine.heldUpdates());
         }
         return words;
     }
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -228,7 +228,7 @@
                         crashes.add(QuarantineUpdate.ended(fingerprint, each));
                     }
                 });
-        List<QuarantineUpdate> snapshot = new ArrayList<>(heldWords());
+        List<QuarantineUpdate> snapshot = new ArrayList<>(heldUpdates());
         snapshot.addAll(
                 crashes.subList(
                         Math.max(0, crashes.size() - MAX_SNAPSHOT_CRASHES), crashes.size()));
@@ -236,7 +236,7 @@
     }
 
     /** {@return an update for each quarantined request} */
-    public List<QuarantineUpdate> heldWords() {
+    public List<QuarantineUpdate> heldUpdates() {
         return held.stream().map(QuarantineUpdate::held).toList();
     }
 
