--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -235,10 +235,10 @@
      * @param members How many gateways the fleet has.
      * @return The words.
      */
-    List<QuarantineUpdate> takeNews(int members) {
+    List<QuarantineUpdate> takeUpdates(int members) {
         long now = reactor.currentTimeMillis();
         quarantine.decide(now).forEach(each -> held(each, "own"));
-        List<QuarantineUpdate> words = new ArrayList<>(quarantine.takeNews(now));
+        List<QuarantineUpdate> words = new ArrayList<>(quarantine.takeUpdates(now));
         if (now >= toldAgainMillis) {
             toldAgainMillis =
                     now + Math.round(TOLD_AGAIN_MILLIS * members * 2 * random.nextDouble());
--- a/src/main/java/org/martenwell/gateway/ReportMaker.java
+++ b/src/main/java/org/martenwell/gateway/ReportMaker.java
@@ -56,7 +56,7 @@
         return with(
                 core.takePlaced(),
                 shares ? core.shares().own(core.now()) : ShareCounts.NONE,
-                core.harmful().takeNews(core.members()));
+                core.harmful().takeUpdates(core.members()));
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -211,7 +211,7 @@
      * @param now The current time, in milliseconds.
      * @return The updates.
      */
-    public List<QuarantineUpdate> takeNews(long now) {
+    public List<QuarantineUpdate> takeUpdates(long now) {
         return updates.take(now);
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -306,7 +306,7 @@
 
     private void report(int gateway) {
         gateways.get(gateway).decide(now);
-        List<QuarantineUpdate> updates = new ArrayList<>(gateways.get(gateway).takeNews(now));
+        List<QuarantineUpdate> updates = new ArrayList<>(gateways.get(gateway).takeUpdates(now));
         if (random.nextDouble() * load.gateways() * 1_000 < load.reportMillis()) {
             updates.addAll(gateways.get(gateway).heldUpdates());
         }
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -91,7 +91,7 @@
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
         assertThat(quarantine.heard(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
+        assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
     }
 
     @Test
@@ -107,22 +107,22 @@
     @Test
     void testCompletionOfAnUnsuspectedRequestQueuesNoUpdate() {
         quarantine.ended(HARMFUL, "a", 0);
-        quarantine.takeNews(0);
+        quarantine.takeUpdates(0);
         quarantine.clear(HARMFUL, 1);
-        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
+        assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
         quarantine.clear(HARMFUL, 2);
-        assertThat(quarantine.takeNews(2)).isEmpty();
+        assertThat(quarantine.takeUpdates(2)).isEmpty();
     }
 
     @Test
     void testUpdateIsSentThreeTimes() {
         quarantine.ended(HARMFUL, "a", 0);
         List<QuarantineUpdate> update = List.of(QuarantineUpdate.ended(HARMFUL, "a"));
-        assertThat(quarantine.takeNews(0)).isEqualTo(update);
-        assertThat(quarantine.takeNews(400)).isEmpty();
-        assertThat(quarantine.takeNews(600)).isEqualTo(update);
-        assertThat(quarantine.takeNews(2_100)).isEqualTo(update);
-        assertThat(quarantine.takeNews(9_000)).isEmpty();
+        assertThat(quarantine.takeUpdates(0)).isEqualTo(update);
+        assertThat(quarantine.takeUpdates(400)).isEmpty();
+        assertThat(quarantine.takeUpdates(600)).isEqualTo(update);
+        assertThat(quarantine.takeUpdates(2_100)).isEqualTo(update);
+        assertThat(quarantine.takeUpdates(9_000)).isEmpty();
     }
 
     @Test
