--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -202,7 +202,7 @@
      */
     void heard(List<QuarantineUpdate> words) {
         for (QuarantineUpdate each : words) {
-            if (quarantine.heard(each, reactor.currentTimeMillis())) {
+            if (quarantine.applyUpdate(each, reactor.currentTimeMillis())) {
                 held(each.fingerprint(), "peer");
             }
         }
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -99,7 +99,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if the update quarantined the request.
      */
-    public boolean heard(QuarantineUpdate update, long now) {
+    public boolean applyUpdate(QuarantineUpdate update, long now) {
         Fingerprint fingerprint = update.fingerprint();
         return switch (update.kind()) {
             case TARGET_CRASHED -> {
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -325,11 +325,11 @@
         }
         schedule(
                 now + 1 + random.nextInt(load.delayMillis()),
-                () -> updates.forEach(each -> gateways.get(peer).heard(each, now)));
+                () -> updates.forEach(each -> gateways.get(peer).applyUpdate(each, now)));
     }
 
     private void sendSnapshotToPartitioned() {
-        gateways.get(1).all().forEach(each -> gateways.get(0).heard(each, now));
+        gateways.get(1).all().forEach(each -> gateways.get(0).applyUpdate(each, now));
     }
 
     private static Fingerprint fingerprint(int request) {
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -41,7 +41,7 @@
     void testRepeatedReportOfOneCrashCountsOnce() {
         for (int times = 0; times < 3; times++) {
             quarantine.ended(HARMFUL, "a", 0);
-            quarantine.heard(QuarantineUpdate.ended(HARMFUL, "a"), 0);
+            quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "a"), 0);
         }
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
     }
@@ -54,7 +54,7 @@
         quarantine.ended(HARMFUL, "c", 800);
         assertThat(quarantine.clear(HARMFUL, 900)).isFalse();
         quarantine.ended(HARMFUL, "d", 1_000);
-        quarantine.heard(QuarantineUpdate.ended(HARMFUL, "a"), 1_100);
+        quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "a"), 1_100);
         assertThat(quarantine.lives(HARMFUL)).isEmpty();
         assertThat(quarantine.decide(2_000)).isEmpty();
     }
@@ -67,8 +67,8 @@
         quarantine.ended(HARMFUL, "c", 90);
         assertThat(quarantine.decide(1_200)).isEmpty();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        quarantine.heard(QuarantineUpdate.ended(HARMFUL, "b"), 1_250);
-        quarantine.heard(QuarantineUpdate.ended(HARMFUL, "c"), 1_250);
+        quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "b"), 1_250);
+        quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "c"), 1_250);
         assertThat(quarantine.lives(HARMFUL)).containsExactly("a");
         quarantine.ended(HARMFUL, "d", 1_300);
         quarantine.ended(HARMFUL, "e", 1_700);
@@ -89,7 +89,7 @@
     void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
         quarantine.hold(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
-        assertThat(quarantine.heard(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
+        assertThat(quarantine.applyUpdate(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
     }
@@ -157,7 +157,7 @@
         Quarantine fresh = new Quarantine();
         long now = 0;
         for (QuarantineUpdate each : updates) {
-            fresh.heard(each, now);
+            fresh.applyUpdate(each, now);
             now += 400;
         }
         assertThat(fresh.decide(now + AFTER_IGNORED_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
