--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -268,7 +268,7 @@
         if (summaries.size() > MAX_SUMMARIES) {
             summaries.remove(summaries.keySet().iterator().next());
         }
-        if (quarantine.ended(fingerprint, life, reactor.currentTimeMillis())) {
+        if (quarantine.recordCrash(fingerprint, life, reactor.currentTimeMillis())) {
             newsListener.run();
         }
         log.suspected(suspect, life, quarantine.lives(fingerprint).size());
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -66,10 +66,10 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if the crash is new, so that peers should be informed at once.
      */
-    public boolean ended(Fingerprint fingerprint, String incarnation, long now) {
+    public boolean recordCrash(Fingerprint fingerprint, String incarnation, long now) {
         boolean added = addCrash(fingerprint, incarnation, now);
         if (added) {
-            updates.add(QuarantineUpdate.ended(fingerprint, incarnation), now);
+            updates.add(QuarantineUpdate.crash(fingerprint, incarnation), now);
         }
         return added;
     }
@@ -225,7 +225,7 @@
         suspicions.forEach(
                 (fingerprint, suspicion) -> {
                     for (String each : suspicion.crashedIncarnations()) {
-                        crashes.add(QuarantineUpdate.ended(fingerprint, each));
+                        crashes.add(QuarantineUpdate.crash(fingerprint, each));
                     }
                 });
         List<QuarantineUpdate> snapshot = new ArrayList<>(heldUpdates());
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -18,7 +18,7 @@
      * @param life The incarnation that crashed.
      * @return The update.
      */
-    public static QuarantineUpdate ended(Fingerprint fingerprint, String life) {
+    public static QuarantineUpdate crash(Fingerprint fingerprint, String life) {
         return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_CRASHED, life);
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -284,7 +284,7 @@
                     target.up = true;
                 });
         for (Running each : interrupted) {
-            if (gateways.get(each.gateway()).ended(fingerprint(each.request()), name, now)) {
+            if (gateways.get(each.gateway()).recordCrash(fingerprint(each.request()), name, now)) {
                 schedule(now + 5, () -> report(each.gateway()));
             }
         }
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -26,10 +26,10 @@
 
     @Test
     void testThirdCrashQuarantinesAfterTheDecisionDelay() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.ended(HARMFUL, "b", 400);
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "b", 400);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        quarantine.ended(HARMFUL, "c", 800);
+        quarantine.recordCrash(HARMFUL, "c", 800);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.UNDECIDED);
         assertThat(quarantine.decide(1_700)).isEmpty();
         assertThat(quarantine.decide(1_800)).containsExactly(HARMFUL);
@@ -40,8 +40,8 @@
     @Test
     void testRepeatedReportOfOneCrashCountsOnce() {
         for (int times = 0; times < 3; times++) {
-            quarantine.ended(HARMFUL, "a", 0);
-            quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "a"), 0);
+            quarantine.recordCrash(HARMFUL, "a", 0);
+            quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "a"), 0);
         }
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
     }
@@ -49,12 +49,12 @@
     /** Frequent requests, such as status queries, run on most targets that crash. */
     @Test
     void testCompletedRequestClearsRecordedCrashes() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.ended(HARMFUL, "b", 400);
-        quarantine.ended(HARMFUL, "c", 800);
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "b", 400);
+        quarantine.recordCrash(HARMFUL, "c", 800);
         assertThat(quarantine.clear(HARMFUL, 900)).isFalse();
-        quarantine.ended(HARMFUL, "d", 1_000);
-        quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "a"), 1_100);
+        quarantine.recordCrash(HARMFUL, "d", 1_000);
+        quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "a"), 1_100);
         assertThat(quarantine.lives(HARMFUL)).isEmpty();
         assertThat(quarantine.decide(2_000)).isEmpty();
     }
@@ -62,26 +62,26 @@
     /** A frequent request runs on all of several targets that crash at once. */
     @Test
     void testSimultaneousCrashesCountAsOne() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.ended(HARMFUL, "b", 10);
-        quarantine.ended(HARMFUL, "c", 90);
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "b", 10);
+        quarantine.recordCrash(HARMFUL, "c", 90);
         assertThat(quarantine.decide(1_200)).isEmpty();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "b"), 1_250);
-        quarantine.applyUpdate(QuarantineUpdate.ended(HARMFUL, "c"), 1_250);
+        quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "b"), 1_250);
+        quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "c"), 1_250);
         assertThat(quarantine.lives(HARMFUL)).containsExactly("a");
-        quarantine.ended(HARMFUL, "d", 1_300);
-        quarantine.ended(HARMFUL, "e", 1_700);
+        quarantine.recordCrash(HARMFUL, "d", 1_300);
+        quarantine.recordCrash(HARMFUL, "e", 1_700);
         assertThat(quarantine.decide(3_000)).containsExactly(HARMFUL);
     }
 
     @Test
     void testCrashesLongAfterCompletionCountAgain() {
-        quarantine.ended(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "a", 0);
         quarantine.clear(HARMFUL, 0);
-        quarantine.ended(HARMFUL, "b", AFTER_IGNORED_MILLIS);
-        quarantine.ended(HARMFUL, "c", AFTER_IGNORED_MILLIS);
-        quarantine.ended(HARMFUL, "d", AFTER_IGNORED_MILLIS + 500);
+        quarantine.recordCrash(HARMFUL, "b", AFTER_IGNORED_MILLIS);
+        quarantine.recordCrash(HARMFUL, "c", AFTER_IGNORED_MILLIS);
+        quarantine.recordCrash(HARMFUL, "d", AFTER_IGNORED_MILLIS + 500);
         assertThat(quarantine.decide(2 * AFTER_IGNORED_MILLIS)).containsExactly(HARMFUL);
     }
 
@@ -97,16 +97,16 @@
     @Test
     void testSnapshotHoldsQuarantinedRequestsAndCrashes() {
         quarantine.hold(OTHER, 0);
-        quarantine.ended(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "a", 0);
         assertThat(quarantine.all())
                 .containsExactlyInAnyOrder(
-                        QuarantineUpdate.held(OTHER), QuarantineUpdate.ended(HARMFUL, "a"));
+                        QuarantineUpdate.held(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
     }
 
     /** Guards against an update for every completion of a request that was suspected once. */
     @Test
     void testCompletionOfAnUnsuspectedRequestQueuesNoUpdate() {
-        quarantine.ended(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "a", 0);
         quarantine.takeUpdates(0);
         quarantine.clear(HARMFUL, 1);
         assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
@@ -116,8 +116,8 @@
 
     @Test
     void testUpdateIsSentThreeTimes() {
-        quarantine.ended(HARMFUL, "a", 0);
-        List<QuarantineUpdate> update = List.of(QuarantineUpdate.ended(HARMFUL, "a"));
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        List<QuarantineUpdate> update = List.of(QuarantineUpdate.crash(HARMFUL, "a"));
         assertThat(quarantine.takeUpdates(0)).isEqualTo(update);
         assertThat(quarantine.takeUpdates(400)).isEmpty();
         assertThat(quarantine.takeUpdates(600)).isEqualTo(update);
@@ -129,7 +129,7 @@
     void testFreeRequestsAreEvictedBeforeQuarantinedOnes() {
         quarantine.hold(HARMFUL, 0);
         for (int other = 0; other < 10_000; other++) {
-            quarantine.ended(new Fingerprint(5, other), "a", 1);
+            quarantine.recordCrash(new Fingerprint(5, other), "a", 1);
         }
         assertThat(quarantine.size()).isLessThan(5_000);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
@@ -150,7 +150,7 @@
             @ForAll @IntRange(min = 1, max = 5) int crashes, @ForAll long seed) {
         List<QuarantineUpdate> updates = new ArrayList<>();
         IntStream.range(0, crashes)
-                .mapToObj(index -> QuarantineUpdate.ended(HARMFUL, "incarnation-" + index))
+                .mapToObj(index -> QuarantineUpdate.crash(HARMFUL, "incarnation-" + index))
                 .forEach(updates::add);
         updates.addAll(List.copyOf(updates));
         Collections.shuffle(updates, new Random(seed));
