--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -66,7 +66,7 @@
         writer.number(word.fingerprint().scope());
         writer.number(word.fingerprint().content());
         writer.number(word.kind().number());
-        writer.text(word.life());
+        writer.text(word.incarnation());
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -103,7 +103,7 @@
         Fingerprint fingerprint = update.fingerprint();
         return switch (update.kind()) {
             case TARGET_CRASHED -> {
-                addCrash(fingerprint, update.life(), now);
+                addCrash(fingerprint, update.incarnation(), now);
                 yield false;
             }
             case CLEARED -> {
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -7,19 +7,20 @@
  *
  * @param fingerprint The fingerprint of the request.
  * @param kind The kind of update.
- * @param life The incarnation of the target that crashed, empty for other kinds.
+ * @param incarnation The incarnation of the target that crashed, empty for other kinds.
  */
-public record QuarantineUpdate(Fingerprint fingerprint, QuarantineUpdateKind kind, String life) {
+public record QuarantineUpdate(
+        Fingerprint fingerprint, QuarantineUpdateKind kind, String incarnation) {
 
     /**
      * Creates an update that reports the crash of a target.
      *
      * @param fingerprint The request that the target was running.
-     * @param life The incarnation that crashed.
+     * @param incarnation The incarnation that crashed.
      * @return The update.
      */
-    public static QuarantineUpdate crash(Fingerprint fingerprint, String life) {
-        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_CRASHED, life);
+    public static QuarantineUpdate crash(Fingerprint fingerprint, String incarnation) {
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_CRASHED, incarnation);
     }
 
     /**
