--- a/src/main/java/org/martenwell/directory/HeldRequestForms.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestForms.java
@@ -53,7 +53,7 @@
         value.put(GATEWAY, request.gateway());
         value.put(SINCE, request.sinceMillis());
         ArrayNode lives = value.putArray(LIVES);
-        request.lives().forEach(lives::add);
+        request.crashedIncarnations().forEach(lives::add);
         return value;
     }
 
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -271,7 +271,7 @@
         if (quarantine.recordCrash(fingerprint, life, reactor.currentTimeMillis())) {
             newsListener.run();
         }
-        log.suspected(suspect, life, quarantine.lives(fingerprint).size());
+        log.suspected(suspect, life, quarantine.crashedIncarnations(fingerprint).size());
     }
 
     /**
@@ -291,7 +291,7 @@
                     new HeldRequest(
                             fingerprint,
                             summary,
-                            quarantine.lives(fingerprint),
+                            quarantine.crashedIncarnations(fingerprint),
                             gateway,
                             clock.millis());
             directory.ifPresent(each -> each.hold(entry));
--- a/src/main/java/org/martenwell/quarantine/HeldRequest.java
+++ b/src/main/java/org/martenwell/quarantine/HeldRequest.java
@@ -7,8 +7,8 @@
  *
  * @param fingerprint The fingerprint of the request.
  * @param summary The description shown to operators.
- * @param lives The incarnations of targets that crashed while running the request; for operators
- *     only.
+ * @param crashedIncarnations The incarnations of targets that crashed while running the request;
+ *     for operators only.
  * @param gateway The name of the gateway that stored the entry.
  * @param sinceMillis The time at which the request was quarantined, in milliseconds since the Unix
  *     epoch.
@@ -16,6 +16,6 @@
 public record HeldRequest(
         Fingerprint fingerprint,
         RequestSummary summary,
-        Set<String> lives,
+        Set<String> crashedIncarnations,
         String gateway,
         long sinceMillis) {}
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -200,7 +200,7 @@
      * @param fingerprint The request.
      * @return The incarnations whose crashes count, empty if the request isn't tracked.
      */
-    public Set<String> lives(Fingerprint fingerprint) {
+    public Set<String> crashedIncarnations(Fingerprint fingerprint) {
         Suspicion suspicion = suspicions.get(fingerprint);
         return suspicion == null ? Set.of() : Set.copyOf(suspicion.crashedIncarnations());
     }
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -55,7 +55,7 @@
         assertThat(quarantine.clear(HARMFUL, 900)).isFalse();
         quarantine.recordCrash(HARMFUL, "d", 1_000);
         quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "a"), 1_100);
-        assertThat(quarantine.lives(HARMFUL)).isEmpty();
+        assertThat(quarantine.crashedIncarnations(HARMFUL)).isEmpty();
         assertThat(quarantine.decide(2_000)).isEmpty();
     }
 
@@ -69,7 +69,7 @@
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "b"), 1_250);
         quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "c"), 1_250);
-        assertThat(quarantine.lives(HARMFUL)).containsExactly("a");
+        assertThat(quarantine.crashedIncarnations(HARMFUL)).containsExactly("a");
         quarantine.recordCrash(HARMFUL, "d", 1_300);
         quarantine.recordCrash(HARMFUL, "e", 1_700);
         assertThat(quarantine.decide(3_000)).containsExactly(HARMFUL);
