--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -136,7 +136,7 @@
      * @return The kind of its answer or empty if it may be sent.
      */
     Optional<ErrorKind> refusal(RequestIdentity identity) {
-        return quarantine.idle() || !quarantine.knows(identity.scope())
+        return quarantine.idle() || !quarantine.tracksScope(identity.scope())
                 ? Optional.empty()
                 : quarantine.state(identity.fingerprint()).refusal();
     }
@@ -165,7 +165,7 @@
      * @param identity What makes the request the same one.
      */
     void givenUp(KnownTarget target, RequestIdentity identity) {
-        if (quarantine.size() > 0 && quarantine.knows(identity.scope())) {
+        if (quarantine.size() > 0 && quarantine.tracksScope(identity.scope())) {
             ends.givenUp(target, identity.suspect());
         }
     }
@@ -185,7 +185,7 @@
      * @param identity What makes the request the same one.
      */
     void served(RequestIdentity identity) {
-        if (quarantine.size() == 0 || !quarantine.knows(identity.scope())) {
+        if (quarantine.size() == 0 || !quarantine.tracksScope(identity.scope())) {
             return;
         }
         Fingerprint fingerprint = identity.fingerprint();
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -157,7 +157,7 @@
      * @param scope The scope.
      * @return {@code true} if at least one request is tracked.
      */
-    public boolean knows(long scope) {
+    public boolean tracksScope(long scope) {
         return scopeCounts.containsKey(scope);
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -142,7 +142,7 @@
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
         quarantine.decide(Quarantine.HELD_MILLIS);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        assertThat(quarantine.knows(HARMFUL.scope())).isFalse();
+        assertThat(quarantine.tracksScope(HARMFUL.scope())).isFalse();
     }
 
     @Property(tries = 300, seed = "1")
