--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -136,7 +136,7 @@
      * @return The kind of its answer or empty if it may be sent.
      */
     Optional<ErrorKind> refusal(RequestIdentity identity) {
-        return quarantine.idle() || !quarantine.tracksScope(identity.scope())
+        return quarantine.blocksNothing() || !quarantine.tracksScope(identity.scope())
                 ? Optional.empty()
                 : quarantine.state(identity.fingerprint()).refusal();
     }
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -162,7 +162,7 @@
     }
 
     /** {@return {@code true} if no request is quarantined or undecided, so that all may be sent} */
-    public boolean idle() {
+    public boolean blocksNothing() {
         return held.isEmpty() && undecided.isEmpty();
     }
 
