--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -253,7 +253,7 @@
      * @return The words.
      */
     List<QuarantineUpdate> all() {
-        return quarantine.all();
+        return quarantine.snapshot();
     }
 
     /**
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -220,7 +220,7 @@
      *
      * @return All quarantined requests, and the most recent crashes.
      */
-    public List<QuarantineUpdate> all() {
+    public List<QuarantineUpdate> snapshot() {
         List<QuarantineUpdate> crashes = new ArrayList<>();
         suspicions.forEach(
                 (fingerprint, suspicion) -> {
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -329,7 +329,7 @@
     }
 
     private void sendSnapshotToPartitioned() {
-        gateways.get(1).all().forEach(each -> gateways.get(0).applyUpdate(each, now));
+        gateways.get(1).snapshot().forEach(each -> gateways.get(0).applyUpdate(each, now));
     }
 
     private static Fingerprint fingerprint(int request) {
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -98,7 +98,7 @@
     void testSnapshotHoldsQuarantinedRequestsAndCrashes() {
         quarantine.hold(OTHER, 0);
         quarantine.recordCrash(HARMFUL, "a", 0);
-        assertThat(quarantine.all())
+        assertThat(quarantine.snapshot())
                 .containsExactlyInAnyOrder(
                         QuarantineUpdate.held(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
     }
