--- a/src/main/java/org/martenwell/admission/FleetRetryBudget.java
+++ b/src/main/java/org/martenwell/admission/FleetRetryBudget.java
@@ -51,7 +51,7 @@
      *
      * @param now The current time, in milliseconds.
      */
-    public void countFresh(long now) {
+    public void countFirstAttempt(long now) {
         firstAttempts.add(now);
         removeExpired(now);
     }
--- a/src/main/java/org/martenwell/admission/RetryBudget.java
+++ b/src/main/java/org/martenwell/admission/RetryBudget.java
@@ -25,7 +25,7 @@
     public RetryBudget() {}
 
     /** Counts the first attempt of a request. */
-    public void countFresh() {
+    public void countFirstAttempt() {
         firstAttempts++;
         credit = Math.min(MAX_CREDIT, credit + RETRIES_PER_REQUEST);
     }
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -342,8 +342,8 @@
     }
 
     /** Counts a request that is sent for the first time. */
-    void countFresh() {
-        retries.countFresh(now());
+    void countFirstAttempt() {
+        retries.countFirstAttempt(now());
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -326,7 +326,7 @@
             return;
         }
         if (history.begin(id)) {
-            core.countFresh();
+            core.countFirstAttempt();
         }
         attempt = new SendAttempt(this, target.get(), running);
         relay.expect(attempt);
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -105,7 +105,7 @@
      * @return The answer.
      */
     public Promise<RoutedAnswer> dispatch(RoutedRequest request) {
-        budget.countFresh();
+        budget.countFirstAttempt();
         return attempt(new RequestLife(request));
     }
 
--- a/src/test/java/org/martenwell/admission/AdmissionControlTest.java
+++ b/src/test/java/org/martenwell/admission/AdmissionControlTest.java
@@ -83,7 +83,7 @@
         RetryBudget budget = new RetryBudget();
         int allowed = 0;
         for (int index = 0; index < 1_000; index++) {
-            budget.countFresh();
+            budget.countFirstAttempt();
             allowed += budget.takeRetry() ? 1 : 0;
         }
         assertThat(allowed).isBetween(100, 121);
--- a/src/test/java/org/martenwell/admission/FleetRetryBudgetTest.java
+++ b/src/test/java/org/martenwell/admission/FleetRetryBudgetTest.java
@@ -23,7 +23,7 @@
     void testShareCountsRequestsWithinTheWindow() {
         FleetRetryBudget budget = new FleetRetryBudget(0.2, 0, 10_000, 0);
         for (int count = 0; count < 100; count++) {
-            budget.countFresh(1_000);
+            budget.countFirstAttempt(1_000);
         }
         assertThat(taken(budget, 1, 1_000)).isEqualTo(14);
         assertThat(taken(budget, 1, 5_000)).isZero();
