--- a/src/main/java/org/martenwell/admission/AdmissionControl.java
+++ b/src/main/java/org/martenwell/admission/AdmissionControl.java
@@ -74,7 +74,7 @@
      * @param bytes The memory held by the request, in bytes.
      * @param now The current time, in milliseconds.
      */
-    public void admitWaiting(String organisation, Contract contract, long bytes, long now) {
+    public void admitToQueue(String organisation, Contract contract, long bytes, long now) {
         int ahead = waiting.getOrDefault(organisation, 0);
         DrainRate drainRate = drainRates.computeIfAbsent(organisation, key -> new DrainRate());
         long estimate = drainRate.estimateMillis(ahead, now);
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -151,7 +151,7 @@
         }
         String organisation = waiting.organisation();
         try {
-            admission.admitWaiting(organisation, life.request().contract(), waiting.bytes(), now);
+            admission.admitToQueue(organisation, life.request().contract(), waiting.bytes(), now);
         } catch (MartenwellException refusal) {
             return Promise.ofException(refusal);
         }
--- a/src/test/java/org/martenwell/admission/AdmissionControlTest.java
+++ b/src/test/java/org/martenwell/admission/AdmissionControlTest.java
@@ -38,44 +38,44 @@
     @Test
     void testFullQueueDoesNotAffectOtherOrganisations() {
         for (int index = 0; index < 4; index++) {
-            control.admitWaiting("a", CONTRACT, 10, 0);
+            control.admitToQueue("a", CONTRACT, 10, 0);
         }
         MartenwellException rejection =
-                rejectionOf(() -> control.admitWaiting("a", CONTRACT, 10, 0));
+                rejectionOf(() -> control.admitToQueue("a", CONTRACT, 10, 0));
         assertThat(rejection.kind()).isEqualTo(ErrorKind.QUEUE_FULL);
         assertThat(rejection.outcome()).isEqualTo(Outcome.NOT_RUN);
-        control.admitWaiting("b", CONTRACT, 10, 0);
+        control.admitToQueue("b", CONTRACT, 10, 0);
     }
 
     @Test
     void testMemoryOfQueuedRequestsIsBounded() {
-        control.admitWaiting("a", CONTRACT, 900, 0);
-        assertThat(rejectionOf(() -> control.admitWaiting("b", CONTRACT, 101, 0)).kind())
+        control.admitToQueue("a", CONTRACT, 900, 0);
+        assertThat(rejectionOf(() -> control.admitToQueue("b", CONTRACT, 101, 0)).kind())
                 .isEqualTo(ErrorKind.ROUTER_FULL);
         control.endWaiting("a", 900, true, 0);
-        control.admitWaiting("b", CONTRACT, 101, 0);
+        control.admitToQueue("b", CONTRACT, 101, 0);
     }
 
     @Test
     void testRequestThatWouldWaitTooLongIsRejected() {
-        control.admitWaiting("a", CONTRACT, 1, 0);
+        control.admitToQueue("a", CONTRACT, 1, 0);
         for (int index = 1; index <= 10; index++) {
-            control.admitWaiting("a", CONTRACT, 1, index * 400L);
+            control.admitToQueue("a", CONTRACT, 1, index * 400L);
             control.endWaiting("a", 1, true, index * 400L);
         }
-        control.admitWaiting("a", CONTRACT, 1, 4_000);
+        control.admitToQueue("a", CONTRACT, 1, 4_000);
         MartenwellException rejection =
-                rejectionOf(() -> control.admitWaiting("a", CONTRACT, 1, 4_000));
+                rejectionOf(() -> control.admitToQueue("a", CONTRACT, 1, 4_000));
         assertThat(rejection.kind()).isEqualTo(ErrorKind.WAIT_TOO_LONG);
         assertThat(rejection.retryAfterMillis().getAsLong()).isBetween(100L, 2_000L);
     }
 
     @Test
     void testTooShortAMeasurementRejectsNothing() {
-        control.admitWaiting("a", CONTRACT, 1, 0);
+        control.admitToQueue("a", CONTRACT, 1, 0);
         control.endWaiting("a", 1, true, 3_000);
-        control.admitWaiting("a", CONTRACT, 1, 3_000);
-        control.admitWaiting("a", CONTRACT, 1, 9_000);
+        control.admitToQueue("a", CONTRACT, 1, 3_000);
+        control.admitToQueue("a", CONTRACT, 1, 9_000);
     }
 
     @Test
