--- a/src/main/java/org/martenwell/admission/AdmissionControl.java
+++ b/src/main/java/org/martenwell/admission/AdmissionControl.java
@@ -109,7 +109,7 @@
      * @param started {@code true} if the request was started, {@code false} if it was abandoned.
      * @param now The current time, in milliseconds.
      */
-    public void endWaiting(String organisation, long bytes, boolean started, long now) {
+    public void leaveQueue(String organisation, long bytes, boolean started, long now) {
         DrainRate drainRate = drainRates.computeIfAbsent(organisation, key -> new DrainRate());
         if (started) {
             drainRate.recordStart(now);
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -162,7 +162,7 @@
                         (assignment, exception) -> {
                             long then = reactor.currentTimeMillis();
                             life.waited(then - now);
-                            admission.endWaiting(
+                            admission.leaveQueue(
                                     organisation, waiting.bytes(), assignment != null, then);
                         })
                 .mapException(exception -> withRetryAfter(exception, organisation));
--- a/src/test/java/org/martenwell/admission/AdmissionControlTest.java
+++ b/src/test/java/org/martenwell/admission/AdmissionControlTest.java
@@ -52,7 +52,7 @@
         control.admitToQueue("a", CONTRACT, 900, 0);
         assertThat(rejectionOf(() -> control.admitToQueue("b", CONTRACT, 101, 0)).kind())
                 .isEqualTo(ErrorKind.ROUTER_FULL);
-        control.endWaiting("a", 900, true, 0);
+        control.leaveQueue("a", 900, true, 0);
         control.admitToQueue("b", CONTRACT, 101, 0);
     }
 
@@ -61,7 +61,7 @@
         control.admitToQueue("a", CONTRACT, 1, 0);
         for (int index = 1; index <= 10; index++) {
             control.admitToQueue("a", CONTRACT, 1, index * 400L);
-            control.endWaiting("a", 1, true, index * 400L);
+            control.leaveQueue("a", 1, true, index * 400L);
         }
         control.admitToQueue("a", CONTRACT, 1, 4_000);
         MartenwellException rejection =
@@ -73,7 +73,7 @@
     @Test
     void testTooShortAMeasurementRejectsNothing() {
         control.admitToQueue("a", CONTRACT, 1, 0);
-        control.endWaiting("a", 1, true, 3_000);
+        control.leaveQueue("a", 1, true, 3_000);
         control.admitToQueue("a", CONTRACT, 1, 3_000);
         control.admitToQueue("a", CONTRACT, 1, 9_000);
     }
