--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -345,7 +345,7 @@
      * @param heartbeat The heartbeat.
      */
     private void received(Heartbeat heartbeat) {
-        boolean changed = membership.heard(heartbeat, reactor.currentTimeMillis());
+        boolean changed = membership.applyHeartbeat(heartbeat, reactor.currentTimeMillis());
         if (heartbeat.configurationVersion() > store.version()) {
             network.send(
                     heartbeat.router(), new ConfigurationRequest(settings.name(), store.version()));
--- a/src/main/java/org/martenwell/member/Membership.java
+++ b/src/main/java/org/martenwell/member/Membership.java
@@ -66,7 +66,7 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if a member joined, recovered, restarted or changed its readiness.
      */
-    public boolean heard(Heartbeat heartbeat, long now) {
+    public boolean applyHeartbeat(Heartbeat heartbeat, long now) {
         String name = heartbeat.router();
         if (name.equals(self) || isOutdated(heartbeat)) {
             return false;
--- a/src/test/java/org/martenwell/member/MembershipTest.java
+++ b/src/test/java/org/martenwell/member/MembershipTest.java
@@ -22,7 +22,7 @@
 
     @Test
     void testMemberWithoutHeartbeatsIsSuspectedThenRemoved() {
-        membership.heard(heartbeat(1, 1, true), 0);
+        membership.applyHeartbeat(heartbeat(1, 1, true), 0);
         assertThat(membership.expire(1_499).any()).isFalse();
         assertThat(membership.expire(1_500).suspected()).isTrue();
         assertThat(membership.names()).contains("peer");
@@ -31,31 +31,31 @@
 
     @Test
     void testHeartbeatClearsSuspicion() {
-        membership.heard(heartbeat(1, 1, true), 0);
+        membership.applyHeartbeat(heartbeat(1, 1, true), 0);
         membership.expire(1_500);
-        assertThat(membership.heard(heartbeat(1, 2, true), 1_600)).isTrue();
+        assertThat(membership.applyHeartbeat(heartbeat(1, 2, true), 1_600)).isTrue();
         assertThat(membership.expire(3_000).any()).isFalse();
     }
 
     @Test
     void testOldIncarnationIsIgnored() {
-        membership.heard(heartbeat(2, 1, true), 0);
-        assertThat(membership.heard(heartbeat(1, 9, true), 10)).isFalse();
+        membership.applyHeartbeat(heartbeat(2, 1, true), 0);
+        assertThat(membership.applyHeartbeat(heartbeat(1, 9, true), 10)).isFalse();
         assertThat(membership.find("peer").orElseThrow().heartbeat().incarnation()).isEqualTo(2);
     }
 
     @Test
     void testReorderedHeartbeatIsIgnored() {
-        membership.heard(heartbeat(1, 5, true), 0);
-        assertThat(membership.heard(heartbeat(1, 4, false), 10)).isFalse();
+        membership.applyHeartbeat(heartbeat(1, 5, true), 0);
+        assertThat(membership.applyHeartbeat(heartbeat(1, 4, false), 10)).isFalse();
         assertThat(membership.find("peer").orElseThrow().heartbeat().ready()).isTrue();
     }
 
     @Test
     void testRemovedMemberCanRejoin() {
-        membership.heard(heartbeat(1, 5, true), 0);
+        membership.applyHeartbeat(heartbeat(1, 5, true), 0);
         membership.expire(5_000);
-        assertThat(membership.heard(heartbeat(1, 6, true), 5_100)).isTrue();
+        assertThat(membership.applyHeartbeat(heartbeat(1, 6, true), 5_100)).isTrue();
     }
 
     private static Heartbeat heartbeat(long incarnation, long sequence, boolean ready) {
