--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -446,7 +446,7 @@
     private void expire() {
         long now = reactor.currentTimeMillis();
         MembershipChange change = membership.expire(now);
-        Set<String> listed = membership.listedNames();
+        Set<String> listed = membership.listedRouters();
         long heard = listed.stream().filter(name -> membership.find(name).isPresent()).count();
         readiness.contacts(follower.answeredAt(), listed.size(), (int) heard, now);
         if (change.any()) {
--- a/src/main/java/org/martenwell/member/Membership.java
+++ b/src/main/java/org/martenwell/member/Membership.java
@@ -144,7 +144,7 @@
     }
 
     /** {@return the names of the other routers listed by the platform} */
-    public Set<String> listedNames() {
+    public Set<String> listedRouters() {
         return Set.copyOf(listed.keySet());
     }
 
--- a/src/main/java/org/martenwell/router/ConfigurationApplier.java
+++ b/src/main/java/org/martenwell/router/ConfigurationApplier.java
@@ -217,7 +217,7 @@
      * @return The versions that they last told, by name.
      */
     private Map<String, Long> missing(long version) {
-        Set<String> routers = new TreeSet<>(membership.listedNames());
+        Set<String> routers = new TreeSet<>(membership.listedRouters());
         routers.addAll(membership.others().keySet());
         Map<String, Long> missing = new TreeMap<>();
         for (String name : routers) {
