--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -462,7 +462,7 @@
      * @param boxes The boxes.
      */
     private void listed(List<Box> boxes) {
-        membership.listed(boxes);
+        membership.replaceListedRouters(boxes);
         network.peers(membership.addresses());
         monitor.listed(
                 boxes.stream()
--- a/src/main/java/org/martenwell/member/Membership.java
+++ b/src/main/java/org/martenwell/member/Membership.java
@@ -49,7 +49,7 @@
      *
      * @param boxes All boxes listed; those of other roles are ignored.
      */
-    public void listed(Collection<Box> boxes) {
+    public void replaceListedRouters(Collection<Box> boxes) {
         listed.clear();
         for (Box box : boxes) {
             if (box.role() == BoxRole.ROUTER && !box.name().equals(self)) {
--- a/src/test/java/org/martenwell/member/MembershipTest.java
+++ b/src/test/java/org/martenwell/member/MembershipTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void testListedRouterIsNoMemberWithoutAHeartbeat() {
-        membership.listed(
+        membership.replaceListedRouters(
                 List.of(new Box("peer", BoxRole.ROUTER, "127.0.0.1:1", "a", BoxState.LIVE)));
         assertThat(membership.names()).containsExactly("self");
         assertThat(membership.addresses()).containsEntry("peer", "127.0.0.1:1");
