--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -449,7 +449,7 @@
         Set<String> listed = membership.listedRouters();
         long heard = listed.stream().filter(name -> membership.find(name).isPresent()).count();
         readiness.contacts(follower.answeredAt(), listed.size(), (int) heard, now);
-        if (change.any()) {
+        if (change.hasChanges()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
             scheduler.removed(change.removed());
             reassign();
--- a/src/main/java/org/martenwell/member/MembershipChange.java
+++ b/src/main/java/org/martenwell/member/MembershipChange.java
@@ -11,7 +11,7 @@
 public record MembershipChange(List<String> removed, boolean suspected) {
 
     /** {@return {@code true} if a member was removed or became suspected} */
-    public boolean any() {
+    public boolean hasChanges() {
         return suspected || !removed.isEmpty();
     }
 }
--- a/src/test/java/org/martenwell/member/MembershipTest.java
+++ b/src/test/java/org/martenwell/member/MembershipTest.java
@@ -23,7 +23,7 @@
     @Test
     void testMemberWithoutHeartbeatsIsSuspectedThenRemoved() {
         membership.applyHeartbeat(heartbeat(1, 1, true), 0);
-        assertThat(membership.expire(1_499).any()).isFalse();
+        assertThat(membership.expire(1_499).hasChanges()).isFalse();
         assertThat(membership.expire(1_500).suspected()).isTrue();
         assertThat(membership.names()).contains("peer");
         assertThat(membership.expire(3_000).removed()).containsExactly("peer");
@@ -34,7 +34,7 @@
         membership.applyHeartbeat(heartbeat(1, 1, true), 0);
         membership.expire(1_500);
         assertThat(membership.applyHeartbeat(heartbeat(1, 2, true), 1_600)).isTrue();
-        assertThat(membership.expire(3_000).any()).isFalse();
+        assertThat(membership.expire(3_000).hasChanges()).isFalse();
     }
 
     @Test
