--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -154,7 +154,7 @@
             return;
         }
         route = found.get();
-        if (configuration.get().keyed() && !route.anonymous()) {
+        if (configuration.get().apiKeysRequired() && !route.anonymous()) {
             organisation =
                     facts.key().map(configuration.get().keys()::get).map(OrganisationTerms::name);
             if (organisation.isEmpty()) {
--- a/src/main/java/org/martenwell/route/GatewayConfiguration.java
+++ b/src/main/java/org/martenwell/route/GatewayConfiguration.java
@@ -14,7 +14,7 @@
  * @param limits The limits on connections and requests of callers.
  * @param tokensPerSecond The tokens that all targets together can generate per second, 0 if not
  *     configured.
- * @param keyed {@code true} if requests need an API key, except on anonymous routes.
+ * @param apiKeysRequired {@code true} if requests need an API key, except on anonymous routes.
  * @param keys The organisations by API key.
  */
 public record GatewayConfiguration(
@@ -23,7 +23,7 @@
         Map<String, ServiceTerms> services,
         ConnectionLimits limits,
         long tokensPerSecond,
-        boolean keyed,
+        boolean apiKeysRequired,
         Map<String, OrganisationTerms> keys) {
 
     /**
