--- a/src/main/java/org/martenwell/gateway/SilenceWatch.java
+++ b/src/main/java/org/martenwell/gateway/SilenceWatch.java
@@ -35,7 +35,7 @@
         this.core = core;
         this.listener = listener;
         long objectives = SILENT_OBJECTIVES * route.objectiveMillis();
-        long pauses = SILENT_PAUSES * route.pauseMillis();
+        long pauses = SILENT_PAUSES * route.eventIntervalMillis();
         this.allowedMillis = Math.max(LEAST_SILENCE_MILLIS, Math.max(objectives, pauses));
     }
 
--- a/src/main/java/org/martenwell/route/Route.java
+++ b/src/main/java/org/martenwell/route/Route.java
@@ -17,8 +17,8 @@
  * @param maxAttempts The most attempts for a request, including the first.
  * @param anonymous {@code true} if requests need no API key.
  * @param resumable {@code true} if an interrupted stream may be resumed on another target.
- * @param pauseMillis The latency objective between events of a stream, in milliseconds, 0 if there
- *     is none.
+ * @param eventIntervalMillis The latency objective between events of a stream, in milliseconds, 0
+ *     if there is none.
  */
 public record Route(
         String name,
@@ -32,7 +32,7 @@
         int maxAttempts,
         boolean anonymous,
         boolean resumable,
-        long pauseMillis) {
+        long eventIntervalMillis) {
 
     /** {@return {@code true} if a request may run more than once} */
     public boolean repeatable() {
