--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -130,7 +130,8 @@
         for (TargetLoad each : candidates) {
             LoadSums sums = each.all(now);
             double backlog = rate.millis(sums.unreadTokens());
-            Optional<TargetLoad> source = terms.copies() ? keepers.source(each) : Optional.empty();
+            Optional<TargetLoad> source =
+                    terms.canCopyCache() ? keepers.source(each) : Optional.empty();
             long kept = source.isPresent() ? keepers.most() : keepers.keptTokens(each);
             long unread = need.promptTokens() - kept;
             double reading = rate.millis(unread) + (source.isPresent() ? COPY_MILLIS : 0);
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -289,7 +289,8 @@
     private EngineChoice anyway(TargetLoad load, List<TargetLoad> open) {
         PromptKeepers keepers =
                 PromptKeepers.of(need.chain(), open, core.targets().leaving(service));
-        Optional<TargetLoad> source = engine.copies() ? keepers.source(load) : Optional.empty();
+        Optional<TargetLoad> source =
+                engine.canCopyCache() ? keepers.source(load) : Optional.empty();
         long kept = source.isPresent() ? keepers.most() : keepers.keptTokens(load);
         return new EngineChoice(load, need.promptTokens() - kept, Double.MAX_VALUE, source);
     }
--- a/src/main/java/org/martenwell/route/EngineTerms.java
+++ b/src/main/java/org/martenwell/route/EngineTerms.java
@@ -5,6 +5,6 @@
  *
  * @param slots The number of requests that an engine runs concurrently.
  * @param memoryTokens The capacity of an engine's KV cache, in tokens.
- * @param copies {@code true} if an engine can copy cached prompt parts from another engine.
+ * @param canCopyCache {@code true} if an engine can copy cached prompt parts from another engine.
  */
-public record EngineTerms(int slots, long memoryTokens, boolean copies) {}
+public record EngineTerms(int slots, long memoryTokens, boolean canCopyCache) {}
