--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.share.ShareTier;
 
 /**
@@ -86,7 +86,7 @@
             PromptNeed need,
             ShareTier tier,
             Collection<TargetLoad> loads,
-            EngineTerms terms,
+            EngineCapacity terms,
             ReadingRate rate,
             long now) {
         double longestWait = allowedWait(need, tier, 0, rate, now);
@@ -120,7 +120,7 @@
             ShareTier tier,
             Collection<TargetLoad> candidates,
             PromptKeepers keepers,
-            EngineTerms terms,
+            EngineCapacity terms,
             ReadingRate rate,
             double unseenMillis,
             long now) {
@@ -196,7 +196,7 @@
      * @return {@code true} if it has.
      */
     private static boolean hasRoom(
-            TargetLoad load, LoadSums sums, PromptNeed need, ShareTier tier, EngineTerms terms) {
+            TargetLoad load, LoadSums sums, PromptNeed need, ShareTier tier, EngineCapacity terms) {
         double fill = tier.fill();
         long memory = sums.memoryTokens() + need.ownTokens() + need.answerTokens();
         return sums.requests() < fill * slots(load, terms)
@@ -234,7 +234,7 @@
      * @param terms What engines of its service hold.
      * @return The number of requests.
      */
-    private static int slots(TargetLoad load, EngineTerms terms) {
+    private static int slots(TargetLoad load, EngineCapacity terms) {
         return load.target().slots() > 0 ? load.target().slots() : terms.slots();
     }
 }
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -11,7 +11,7 @@
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.Route;
 import org.martenwell.share.ShareTier;
 import org.martenwell.share.ShareUse;
@@ -29,7 +29,7 @@
     private final PromptNeed need;
 
     /** What engines hold. */
-    private final EngineTerms engine;
+    private final EngineCapacity engine;
 
     /** The engines' service. */
     private final String service;
@@ -68,7 +68,7 @@
      * @param engine What engines hold.
      * @param service The engines' service.
      */
-    EngineRouting(GatewayCore core, PromptNeed need, EngineTerms engine, String service) {
+    EngineRouting(GatewayCore core, PromptNeed need, EngineCapacity engine, String service) {
         this.core = core;
         this.need = need;
         this.engine = engine;
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -16,7 +16,7 @@
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.SharedKeys;
 import org.martenwell.quarantine.FingerprintFunction;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.RouteTable;
 import org.martenwell.route.ServiceTerms;
@@ -428,7 +428,7 @@
      * @param load The engine.
      * @return The capacity in tokens.
      */
-    private long keptCapacity(EngineTerms engine, TargetLoad load) {
+    private long keptCapacity(EngineCapacity engine, TargetLoad load) {
         long free = engine.memoryTokens() - load.all(now()).memoryTokens();
         return Math.max(engine.memoryTokens() / LEAST_KEPT_PART, free);
     }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -17,7 +17,7 @@
 import org.martenwell.exchange.TargetRequestHead;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.OrganisationTerms;
 import org.martenwell.route.Route;
@@ -193,7 +193,8 @@
      * @return How it is routed or empty for a plain service.
      */
     private Optional<EngineRouting> engineRouting(GatewayConfiguration configuration) {
-        Optional<EngineTerms> terms = configuration.service(service).flatMap(ServiceTerms::engine);
+        Optional<EngineCapacity> terms =
+                configuration.service(service).flatMap(ServiceTerms::engine);
         if (terms.isEmpty() || facts.generation().isEmpty()) {
             return Optional.empty();
         }
--- a/src/main/java/org/martenwell/route/EngineTerms.java
+++ b/src/main/java/org/martenwell/route/EngineCapacity.java
@@ -7,4 +7,4 @@
  * @param memoryTokens The capacity of an engine's KV cache, in tokens.
  * @param canCopyCache {@code true} if an engine can copy cached prompt parts from another engine.
  */
-public record EngineTerms(int slots, long memoryTokens, boolean canCopyCache) {}
+public record EngineCapacity(int slots, long memoryTokens, boolean canCopyCache) {}
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -11,13 +11,13 @@
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareTier;
 
 class EngineChooserTest {
 
-    private static final EngineTerms TERMS = new EngineTerms(10, 100_000, true);
+    private static final EngineCapacity TERMS = new EngineCapacity(10, 100_000, true);
 
     private final EngineChooser chooser = new EngineChooser("domain-a", new Random(1));
 
--- a/src/test/java/org/martenwell/balance/PlacementReplay.java
+++ b/src/test/java/org/martenwell/balance/PlacementReplay.java
@@ -15,7 +15,7 @@
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareTier;
 
@@ -59,7 +59,7 @@
                     new Kind(0.20, 200, 800, 630, 290, 200),
                     new Kind(0.55, 570, 1_450, 1_800, 22, 250));
 
-    private static final EngineTerms TERMS = new EngineTerms(16, 636_749, true);
+    private static final EngineCapacity TERMS = new EngineCapacity(16, 636_749, true);
 
     /** How many requests wait at an engine before it rejects more. */
     private static final int QUEUE = 33;
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -14,7 +14,7 @@
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareTier;
 
@@ -32,7 +32,7 @@
     /** What the fleet is promised to produce, in tokens a second. */
     private static final long PROMISED_TOKENS = 10_000;
 
-    private static final EngineTerms TERMS = new EngineTerms(4, 100_000, true);
+    private static final EngineCapacity TERMS = new EngineCapacity(4, 100_000, true);
 
     private final GatewayCore core =
             GatewayCores.of(
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -18,7 +18,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareSums;
 import org.martenwell.share.ShareTier;
@@ -29,7 +29,7 @@
     /** How many requests an engine runs at a time. */
     private static final int PLACES = 4;
 
-    private static final EngineTerms TERMS = new EngineTerms(PLACES, 100_000, true);
+    private static final EngineCapacity TERMS = new EngineCapacity(PLACES, 100_000, true);
 
     /** What the fleet is promised to produce, in tokens a second. */
     private static final long PROMISED_TOKENS = 10_000;
--- a/src/test/java/org/martenwell/gateway/GatewayCores.java
+++ b/src/test/java/org/martenwell/gateway/GatewayCores.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Random;
 import org.martenwell.exchange.ConnectionLimits;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.Route;
 import org.martenwell.route.RouteType;
@@ -33,12 +33,12 @@
     }
 
     /** Makes a configuration of one service of engines without routes. */
-    static GatewayConfiguration configuration(EngineTerms engine) {
+    static GatewayConfiguration configuration(EngineCapacity engine) {
         return configuration(engine, 0);
     }
 
     /** Makes the same for a fleet that is promised to produce so many tokens a second. */
-    static GatewayConfiguration configuration(EngineTerms engine, long tokensPerSecond) {
+    static GatewayConfiguration configuration(EngineCapacity engine, long tokensPerSecond) {
         return new GatewayConfiguration(
                 1,
                 List.of(),
--- a/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
+++ b/src/test/java/org/martenwell/gateway/PlacedPromptTest.java
@@ -11,7 +11,7 @@
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 
 /** Tests what an engine is taken to keep behind a request that it did not run. */
@@ -42,7 +42,7 @@
 
     @Test
     void testPartsThatWereNotReadAreTakenBackAndPeersAreTold() {
-        core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
+        core.configure(GatewayCores.configuration(new EngineCapacity(10, 100_000, true)));
         load.memory().keep(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
         PlacedPrompt placed = PlacedPrompt.at(core, load, chain);
         assertThat(load.memory().keptTokens(chain)).isEqualTo(300);
--- a/src/test/java/org/martenwell/gateway/TargetLivesTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetLivesTest.java
@@ -21,7 +21,7 @@
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.directory.DirectoryTarget;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareCounts;
 
@@ -48,7 +48,7 @@
 
     @BeforeEach
     void start() {
-        core.configure(GatewayCores.configuration(new EngineTerms(4, 100_000, true)));
+        core.configure(GatewayCores.configuration(new EngineCapacity(4, 100_000, true)));
         tell(target(5, false));
     }
 
