--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -19,7 +19,7 @@
 import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.RouteTable;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.settings.GatewaySettings;
 import org.martenwell.share.FairShares;
 
@@ -416,7 +416,7 @@
     long keptCapacity(TargetLoad load) {
         return configuration()
                 .flatMap(each -> each.service(load.target().service()))
-                .flatMap(ServiceTerms::engine)
+                .flatMap(ServiceConfiguration::engine)
                 .map(engine -> keptCapacity(engine, load))
                 .orElse(0L);
     }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -21,7 +21,7 @@
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.OrganisationTerms;
 import org.martenwell.route.Route;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.share.ShareUse;
 
 /**
@@ -194,7 +194,7 @@
      */
     private Optional<EngineRouting> engineRouting(GatewayConfiguration configuration) {
         Optional<EngineCapacity> terms =
-                configuration.service(service).flatMap(ServiceTerms::engine);
+                configuration.service(service).flatMap(ServiceConfiguration::engine);
         if (terms.isEmpty() || facts.generation().isEmpty()) {
             return Optional.empty();
         }
--- a/src/main/java/org/martenwell/route/GatewayConfiguration.java
+++ b/src/main/java/org/martenwell/route/GatewayConfiguration.java
@@ -20,7 +20,7 @@
 public record GatewayConfiguration(
         long version,
         List<Route> routes,
-        Map<String, ServiceTerms> services,
+        Map<String, ServiceConfiguration> services,
         ConnectionLimits limits,
         long tokensPerSecond,
         boolean apiKeysRequired,
@@ -32,7 +32,7 @@
      * @param name The name of the service.
      * @return The service, empty if it isn't configured.
      */
-    public Optional<ServiceTerms> service(String name) {
+    public Optional<ServiceConfiguration> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 }
--- a/src/main/java/org/martenwell/route/ServiceTerms.java
+++ b/src/main/java/org/martenwell/route/ServiceConfiguration.java
@@ -9,4 +9,5 @@
  * @param maxConnections The most connections that each target accepts.
  * @param engine The capacity of the model engines, empty for a plain service.
  */
-public record ServiceTerms(String name, int maxConnections, Optional<EngineCapacity> engine) {}
+public record ServiceConfiguration(
+        String name, int maxConnections, Optional<EngineCapacity> engine) {}
--- a/src/test/java/org/martenwell/gateway/GatewayCores.java
+++ b/src/test/java/org/martenwell/gateway/GatewayCores.java
@@ -10,7 +10,7 @@
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.Route;
 import org.martenwell.route.RouteType;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.route.WeightedService;
 import org.martenwell.settings.GatewaySettings;
 
@@ -42,7 +42,7 @@
         return new GatewayConfiguration(
                 1,
                 List.of(),
-                Map.of(SERVICE, new ServiceTerms(SERVICE, 10, Optional.of(engine))),
+                Map.of(SERVICE, new ServiceConfiguration(SERVICE, 10, Optional.of(engine))),
                 ConnectionLimits.DEFAULTS,
                 tokensPerSecond,
                 false,
