--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -19,7 +19,7 @@
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
-import org.martenwell.route.OrganisationTerms;
+import org.martenwell.route.OrganisationConfiguration;
 import org.martenwell.route.Route;
 import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.share.ShareUse;
@@ -156,7 +156,9 @@
         route = found.get();
         if (configuration.get().apiKeysRequired() && !route.anonymous()) {
             organisation =
-                    facts.key().map(configuration.get().keys()::get).map(OrganisationTerms::name);
+                    facts.key()
+                            .map(configuration.get().keys()::get)
+                            .map(OrganisationConfiguration::name);
             if (organisation.isEmpty()) {
                 answer(ErrorKind.UNAUTHENTICATED, 0);
                 return;
--- a/src/main/java/org/martenwell/route/GatewayConfiguration.java
+++ b/src/main/java/org/martenwell/route/GatewayConfiguration.java
@@ -24,7 +24,7 @@
         ConnectionLimits limits,
         long tokensPerSecond,
         boolean apiKeysRequired,
-        Map<String, OrganisationTerms> keys) {
+        Map<String, OrganisationConfiguration> keys) {
 
     /**
      * Returns a service.
--- a/src/main/java/org/martenwell/route/OrganisationTerms.java
+++ b/src/main/java/org/martenwell/route/OrganisationConfiguration.java
@@ -6,4 +6,4 @@
  * @param name The name of the organisation.
  * @param priority The priority of its requests; 0 is the highest.
  */
-public record OrganisationTerms(String name, int priority) {}
+public record OrganisationConfiguration(String name, int priority) {}
