--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -19,8 +19,10 @@
     /** A request of the same scope with another body. */
     private static final Fingerprint OTHER = new Fingerprint(1, 3);
 
-    /** Longer than crashes are ignored after a request was cleared, in milliseconds. */
-    private static final long AFTER_IGNORED_MILLIS = 11_000;
+    /**
+     * Longer than the time for which crashes are ignored after clearing a request, in milliseconds.
+     */
+    private static final long AFTER_CLEARING_MILLIS = 11_000;
 
     private final Quarantine quarantine = new Quarantine();
 
@@ -79,10 +81,10 @@
     void testCrashesLongAfterCompletionCountAgain() {
         quarantine.recordCrash(HARMFUL, "a", 0);
         quarantine.clear(HARMFUL, 0);
-        quarantine.recordCrash(HARMFUL, "b", AFTER_IGNORED_MILLIS);
-        quarantine.recordCrash(HARMFUL, "c", AFTER_IGNORED_MILLIS);
-        quarantine.recordCrash(HARMFUL, "d", AFTER_IGNORED_MILLIS + 500);
-        assertThat(quarantine.decide(2 * AFTER_IGNORED_MILLIS)).containsExactly(HARMFUL);
+        quarantine.recordCrash(HARMFUL, "b", AFTER_CLEARING_MILLIS);
+        quarantine.recordCrash(HARMFUL, "c", AFTER_CLEARING_MILLIS);
+        quarantine.recordCrash(HARMFUL, "d", AFTER_CLEARING_MILLIS + 500);
+        assertThat(quarantine.decide(2 * AFTER_CLEARING_MILLIS)).containsExactly(HARMFUL);
     }
 
     @Test
@@ -160,7 +162,7 @@
             fresh.applyUpdate(each, now);
             now += 400;
         }
-        assertThat(fresh.decide(now + AFTER_IGNORED_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
+        assertThat(fresh.decide(now + AFTER_CLEARING_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
         assertThat(fresh.held()).isEqualTo(crashes >= 3 ? 1 : 0);
     }
 }
