--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.share.ShareTier;
 
 /**
@@ -82,7 +82,7 @@
             EngineDemand demand,
             ShareTier tier,
             Collection<TargetLoad> loads,
-            EngineTerms terms,
+            EngineCapacity terms,
             PrefillRate rate,
             long now) {
         double maxBacklogMillis = allowedBacklogMillis(demand, tier, 0, rate, now);
@@ -116,7 +116,7 @@
             ShareTier tier,
             Collection<TargetLoad> candidates,
             PromptCacheLookup cacheLookup,
-            EngineTerms terms,
+            EngineCapacity terms,
             PrefillRate rate,
             double unreportedMillis,
             long now) {
@@ -127,7 +127,7 @@
             LoadSums sums = each.all(now);
             double backlog = rate.millis(sums.prefillTokens());
             Optional<TargetLoad> source =
-                    terms.copies() ? cacheLookup.source(each) : Optional.empty();
+                    terms.canCopyCache() ? cacheLookup.source(each) : Optional.empty();
             long cached = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(each);
             long prefill = demand.promptTokens() - cached;
             double prefillMillis = rate.millis(prefill) + (source.isPresent() ? COPY_MILLIS : 0);
@@ -199,7 +199,7 @@
             LoadSums sums,
             EngineDemand demand,
             ShareTier tier,
-            EngineTerms terms) {
+            EngineCapacity terms) {
         double fillFraction = tier.fillFraction();
         long memory = sums.memoryTokens() + demand.ownTokens() + demand.answerTokens();
         return sums.requests() < fillFraction * slots(load, terms)
@@ -238,7 +238,7 @@
      * @param terms The limits that apply if the engine has not announced its slots.
      * @return The number of slots.
      */
-    private static int slots(TargetLoad load, EngineTerms terms) {
+    private static int slots(TargetLoad load, EngineCapacity terms) {
         return load.target().slots() > 0 ? load.target().slots() : terms.slots();
     }
 }
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -345,7 +345,7 @@
      * @param heartbeat The heartbeat.
      */
     private void received(Heartbeat heartbeat) {
-        boolean changed = membership.heard(heartbeat, reactor.currentTimeMillis());
+        boolean changed = membership.applyHeartbeat(heartbeat, reactor.currentTimeMillis());
         if (heartbeat.configurationVersion() > store.version()) {
             network.send(
                     heartbeat.router(), new ConfigurationRequest(settings.name(), store.version()));
@@ -446,10 +446,10 @@
     private void expire() {
         long now = reactor.currentTimeMillis();
         MembershipChange change = membership.expire(now);
-        Set<String> listed = membership.listedNames();
+        Set<String> listed = membership.listedRouters();
         long heard = listed.stream().filter(name -> membership.find(name).isPresent()).count();
         readiness.contacts(follower.answeredAt(), listed.size(), (int) heard, now);
-        if (change.any()) {
+        if (change.hasChanges()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
             scheduler.removed(change.removed());
             reassign();
@@ -462,7 +462,7 @@
      * @param boxes The boxes.
      */
     private void listed(List<Box> boxes) {
-        membership.listed(boxes);
+        membership.replaceListedRouters(boxes);
         network.peers(membership.addresses());
         monitor.listed(
                 boxes.stream()
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -11,7 +11,7 @@
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.Route;
 import org.martenwell.share.ShareTier;
 import org.martenwell.share.ShareUse;
@@ -26,7 +26,7 @@
 
     private final EngineDemand demand;
 
-    private final EngineTerms engine;
+    private final EngineCapacity engine;
 
     private final String service;
 
@@ -64,7 +64,7 @@
      * @param engine The capacity of the engines.
      * @param service The name of the engines' service.
      */
-    EngineRouting(GatewayCore core, EngineDemand demand, EngineTerms engine, String service) {
+    EngineRouting(GatewayCore core, EngineDemand demand, EngineCapacity engine, String service) {
         this.core = core;
         this.demand = demand;
         this.engine = engine;
@@ -281,7 +281,8 @@
     private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> open) {
         PromptCacheLookup cacheLookup =
                 PromptCacheLookup.of(demand.chain(), open, core.targets().leaving(service));
-        Optional<TargetLoad> source = engine.copies() ? cacheLookup.source(load) : Optional.empty();
+        Optional<TargetLoad> source =
+                engine.canCopyCache() ? cacheLookup.source(load) : Optional.empty();
         long cachedTokens =
                 source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(load);
         return new EngineChoice(
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -16,10 +16,10 @@
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.SharedKeys;
 import org.martenwell.quarantine.FingerprintFunction;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.RouteTable;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.settings.GatewaySettings;
 import org.martenwell.share.FairShares;
 
@@ -260,8 +260,8 @@
     }
 
     /** Counts a first attempt, which adds to the retry budget. */
-    void countFresh() {
-        retries.countFresh(now());
+    void countFirstAttempt() {
+        retries.countFirstAttempt(now());
     }
 
     /**
@@ -327,7 +327,7 @@
     long promptCacheCapacity(TargetLoad load) {
         return configuration()
                 .flatMap(each -> each.service(load.target().service()))
-                .flatMap(ServiceTerms::engine)
+                .flatMap(ServiceConfiguration::engine)
                 .map(engine -> promptCacheCapacity(engine, load))
                 .orElse(0L);
     }
@@ -340,7 +340,7 @@
      * @param load The engine.
      * @return The capacity in tokens.
      */
-    private long promptCacheCapacity(EngineTerms engine, TargetLoad load) {
+    private long promptCacheCapacity(EngineCapacity engine, TargetLoad load) {
         long free = engine.memoryTokens() - load.all(now()).memoryTokens();
         return Math.max(engine.memoryTokens() / MIN_CACHE_DIVISOR, free);
     }
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -15,7 +15,7 @@
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.quarantine.Quarantine;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.quarantine.RequestSummary;
 
 /**
@@ -84,7 +84,7 @@
         this.random = random;
         this.crashDetector = new TargetCrashDetector(reactor, this::crashed);
         log.metrics().registerGauge("requests_held_back", quarantine::held);
-        log.metrics().registerGauge("targets_ended_under_requests", quarantine::livesKnown);
+        log.metrics().registerGauge("targets_ended_under_requests", quarantine::crashCount);
     }
 
     /**
@@ -130,7 +130,7 @@
      * @return The error to respond with, or empty if the request may be sent.
      */
     Optional<ErrorKind> refusal(RequestIdentity identity) {
-        return quarantine.idle() || !quarantine.knows(identity.scope())
+        return quarantine.blocksNothing() || !quarantine.tracksScope(identity.scope())
                 ? Optional.empty()
                 : quarantine.state(identity.fingerprint()).refusal();
     }
@@ -160,7 +160,7 @@
      * @param identity The request's identity.
      */
     void attemptCancelled(KnownTarget target, RequestIdentity identity) {
-        if (quarantine.size() > 0 && quarantine.knows(identity.scope())) {
+        if (quarantine.size() > 0 && quarantine.tracksScope(identity.scope())) {
             crashDetector.attemptCancelled(target, identity.suspect());
         }
     }
@@ -180,7 +180,7 @@
      * @param identity The request's identity.
      */
     void served(RequestIdentity identity) {
-        if (quarantine.size() == 0 || !quarantine.knows(identity.scope())) {
+        if (quarantine.size() == 0 || !quarantine.tracksScope(identity.scope())) {
             return;
         }
         Fingerprint fingerprint = identity.fingerprint();
@@ -195,9 +195,9 @@
      *
      * @param updates The updates.
      */
-    void heard(List<QuarantineWord> updates) {
-        for (QuarantineWord each : updates) {
-            if (quarantine.heard(each, reactor.currentTimeMillis())) {
+    void heard(List<QuarantineUpdate> updates) {
+        for (QuarantineUpdate each : updates) {
+            if (quarantine.applyUpdate(each, reactor.currentTimeMillis())) {
                 quarantined(each.fingerprint(), "peer");
             }
         }
@@ -231,14 +231,14 @@
      * @param members The number of gateways in the fleet.
      * @return The updates since the last call, from time to time with all quarantined requests.
      */
-    List<QuarantineWord> takeNews(int members) {
+    List<QuarantineUpdate> takeUpdates(int members) {
         long now = reactor.currentTimeMillis();
         quarantine.decide(now).forEach(each -> quarantined(each, "own"));
-        List<QuarantineWord> updates = new ArrayList<>(quarantine.takeNews(now));
+        List<QuarantineUpdate> updates = new ArrayList<>(quarantine.takeUpdates(now));
         if (now >= nextRepeatMillis) {
             nextRepeatMillis =
                     now + Math.round(FLEET_REPEAT_MILLIS * members * 2 * random.nextDouble());
-            updates.addAll(quarantine.heldWords());
+            updates.addAll(quarantine.heldUpdates());
         }
         return updates;
     }
@@ -248,8 +248,8 @@
      *
      * @return The updates.
      */
-    List<QuarantineWord> all() {
-        return quarantine.all();
+    List<QuarantineUpdate> all() {
+        return quarantine.snapshot();
     }
 
     private void crashed(SuspectRequest suspect, String incarnation) {
@@ -258,10 +258,10 @@
         if (summaries.size() > MAX_SUMMARIES) {
             summaries.remove(summaries.keySet().iterator().next());
         }
-        if (quarantine.ended(fingerprint, incarnation, reactor.currentTimeMillis())) {
+        if (quarantine.recordCrash(fingerprint, incarnation, reactor.currentTimeMillis())) {
             crashListener.run();
         }
-        log.suspected(suspect, incarnation, quarantine.lives(fingerprint).size());
+        log.suspected(suspect, incarnation, quarantine.crashedIncarnations(fingerprint).size());
     }
 
     /**
@@ -282,7 +282,7 @@
                     new HeldRequest(
                             fingerprint,
                             summary,
-                            quarantine.lives(fingerprint),
+                            quarantine.crashedIncarnations(fingerprint),
                             gateway,
                             clock.millis());
             directory.ifPresent(each -> each.hold(entry));
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -6,7 +6,7 @@
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
 import org.martenwell.balance.TargetLoadReport;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.share.ShareCounts;
 
 /** Builds the reports that this gateway sends to its peers. */
@@ -58,7 +58,7 @@
         return build(
                 core.takeCacheUpdates(),
                 includeShares ? core.shares().own(core.now()) : ShareCounts.NONE,
-                core.harmful().takeNews(core.members()));
+                core.harmful().takeUpdates(core.members()));
     }
 
     /**
@@ -88,7 +88,7 @@
      * @return The report.
      */
     private GatewayReport build(
-            List<CachedPartUpdate> placed, ShareCounts shares, List<QuarantineWord> quarantine) {
+            List<CachedPartUpdate> placed, ShareCounts shares, List<QuarantineUpdate> quarantine) {
         return new GatewayReport(
                 name,
                 incarnation,
--- /dev/null
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -0,0 +1,45 @@
+package org.martenwell.quarantine;
+
+/**
+ * Quarantine information that gateways gossip about a request. Applying an update is idempotent and
+ * independent of order, because a crash names the incarnation that crashed instead of adding to a
+ * count.
+ *
+ * @param fingerprint The fingerprint of the request.
+ * @param kind The kind of update.
+ * @param incarnation The incarnation of the target that crashed, empty for other kinds.
+ */
+public record QuarantineUpdate(
+        Fingerprint fingerprint, QuarantineUpdateKind kind, String incarnation) {
+
+    /**
+     * Creates an update that reports the crash of a target.
+     *
+     * @param fingerprint The request that the target was running.
+     * @param incarnation The incarnation that crashed.
+     * @return The update.
+     */
+    public static QuarantineUpdate crash(Fingerprint fingerprint, String incarnation) {
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.TARGET_CRASHED, incarnation);
+    }
+
+    /**
+     * Creates an update that reports a request as harmless.
+     *
+     * @param fingerprint The request.
+     * @return The update.
+     */
+    public static QuarantineUpdate cleared(Fingerprint fingerprint) {
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.CLEARED, "");
+    }
+
+    /**
+     * Creates an update that reports a request as quarantined.
+     *
+     * @param fingerprint The request.
+     * @return The update.
+     */
+    public static QuarantineUpdate held(Fingerprint fingerprint) {
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.HELD, "");
+    }
+}
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -105,7 +105,7 @@
      * @return The answer.
      */
     public Promise<RoutedAnswer> dispatch(RoutedRequest request) {
-        budget.countFresh();
+        budget.countFirstAttempt();
         return attempt(new RequestLife(request));
     }
 
@@ -151,7 +151,7 @@
         }
         String organisation = waiting.organisation();
         try {
-            admission.admitWaiting(organisation, life.request().contract(), waiting.bytes(), now);
+            admission.admitToQueue(organisation, life.request().contract(), waiting.bytes(), now);
         } catch (MartenwellException refusal) {
             return Promise.ofException(refusal);
         }
@@ -162,7 +162,7 @@
                         (assignment, exception) -> {
                             long then = reactor.currentTimeMillis();
                             life.waited(then - now);
-                            admission.endWaiting(
+                            admission.leaveQueue(
                                     organisation, waiting.bytes(), assignment != null, then);
                         })
                 .mapException(exception -> withRetryAfter(exception, organisation));
--- a/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
+++ b/src/test/java/org/martenwell/gateway/AssumedCacheEntriesTest.java
@@ -11,7 +11,7 @@
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 
 /** Tests the rollback of assumed cache entries, at the gateway and in reports to its peers. */
@@ -42,7 +42,7 @@
 
     @Test
     void testAddedEntriesAreRolledBackAndReported() {
-        core.configure(GatewayCores.configuration(new EngineTerms(10, 100_000, true)));
+        core.configure(GatewayCores.configuration(new EngineCapacity(10, 100_000, true)));
         load.promptCache().put(PromptChain.key("m", GENERAL.id()), GENERAL.tokens(), 100_000);
         AssumedCacheEntries entries = AssumedCacheEntries.add(core, load, chain);
         assertThat(load.promptCache().cachedTokens(chain)).isEqualTo(300);
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -18,7 +18,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareSums;
 import org.martenwell.share.ShareTier;
@@ -31,7 +31,7 @@
 
     private static final int SLOTS = 4;
 
-    private static final EngineTerms TERMS = new EngineTerms(SLOTS, 100_000, true);
+    private static final EngineCapacity TERMS = new EngineCapacity(SLOTS, 100_000, true);
 
     /** The promised capacity of the fleet, in tokens per second. */
     private static final long PROMISED_TOKENS = 10_000;
--- a/src/test/java/org/martenwell/gateway/GatewayCores.java
+++ b/src/test/java/org/martenwell/gateway/GatewayCores.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import java.util.Random;
 import org.martenwell.exchange.ConnectionLimits;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.Route;
 import org.martenwell.route.RouteType;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.route.WeightedService;
 import org.martenwell.settings.GatewaySettings;
 
@@ -33,16 +33,16 @@
     }
 
     /** Creates a configuration with one engine service, no routes and no promised capacity. */
-    static GatewayConfiguration configuration(EngineTerms engine) {
+    static GatewayConfiguration configuration(EngineCapacity engine) {
         return configuration(engine, 0);
     }
 
     /** Creates a configuration with one engine service, no routes and a promised capacity. */
-    static GatewayConfiguration configuration(EngineTerms engine, long tokensPerSecond) {
+    static GatewayConfiguration configuration(EngineCapacity engine, long tokensPerSecond) {
         return new GatewayConfiguration(
                 1,
                 List.of(),
-                Map.of(SERVICE, new ServiceTerms(SERVICE, 10, Optional.of(engine))),
+                Map.of(SERVICE, new ServiceConfiguration(SERVICE, 10, Optional.of(engine))),
                 ConnectionLimits.DEFAULTS,
                 tokensPerSecond,
                 false,
--- a/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -21,7 +21,7 @@
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.directory.DirectoryTarget;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareCounts;
 
@@ -45,7 +45,7 @@
 
     @BeforeEach
     void start() {
-        core.configure(GatewayCores.configuration(new EngineTerms(4, 100_000, true)));
+        core.configure(GatewayCores.configuration(new EngineCapacity(4, 100_000, true)));
         updateDirectory(target(5, false));
     }
 
--- a/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
+++ b/src/test/java/org/martenwell/member/CoordinatorAssignmentTest.java
@@ -16,7 +16,7 @@
 class CoordinatorAssignmentTest {
 
     @Test
-    void testKeeperIsOfTheTargetsFailureDomain() {
+    void testCoordinatorIsInTheTargetsFailureDomain() {
         Map<String, CoordinatorReference> coordinators = assign(9);
         for (Target target : targets()) {
             int router = Integer.parseInt(coordinators.get(target.name()).name().substring(1));
@@ -25,28 +25,28 @@
     }
 
     @Test
-    void testOtherDomainsKeepTheTargetsOfAnEmptyOne() {
+    void testTargetsOfADomainWithoutRoutersAreAssigned() {
         List<CoordinatorCandidate> one = List.of(new CoordinatorCandidate("r0", 1, "domain0"));
         assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), one)).hasSize(200);
     }
 
     @Test
-    void testNobodyKeepsWithoutCandidates() {
+    void testNoCandidatesAssignNothing() {
         assertThat(CoordinatorAssignment.INSTANCE.assign(targets(), List.of())).isEmpty();
     }
 
     @Property(tries = 30, seed = "1")
-    void testOnlyTargetsOfTheLeaverChangeTheirKeeper(
+    void testOnlyTargetsOfARemovedRouterAreReassigned(
             @ForAll @IntRange(min = 6, max = 40) int routers,
-            @ForAll @IntRange(max = 5) int leaver) {
+            @ForAll @IntRange(max = 5) int removed) {
         Map<String, CoordinatorReference> before = assign(routers);
-        List<CoordinatorCandidate> rest = candidates(routers);
-        rest.remove(leaver);
+        List<CoordinatorCandidate> remaining = candidates(routers);
+        remaining.remove(removed);
         Map<String, CoordinatorReference> after =
-                CoordinatorAssignment.INSTANCE.assign(targets(), rest);
+                CoordinatorAssignment.INSTANCE.assign(targets(), remaining);
         before.forEach(
                 (target, coordinator) -> {
-                    if (!coordinator.name().equals("r" + leaver)) {
+                    if (!coordinator.name().equals("r" + removed)) {
                         assertThat(after.get(target)).isEqualTo(coordinator);
                     }
                 });
--- a/src/test/java/org/martenwell/peer/MessageFormsTest.java
+++ b/src/test/java/org/martenwell/peer/MessageFormsTest.java
@@ -20,8 +20,8 @@
 import org.martenwell.member.Heartbeat;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantineWord;
-import org.martenwell.quarantine.WordKind;
+import org.martenwell.quarantine.QuarantineUpdate;
+import org.martenwell.quarantine.QuarantineUpdateKind;
 import org.martenwell.schedule.Demand;
 import org.martenwell.schedule.FailureCount;
 import org.martenwell.schedule.Holding;
@@ -140,9 +140,9 @@
                                         new ShareSums(requested, sent, withinShare));
         Arbitrary<Fingerprint> fingerprints =
                 Combinators.combine(numbers, numbers).as(Fingerprint::new);
-        Arbitrary<QuarantineWord> words =
-                Combinators.combine(fingerprints, Arbitraries.of(WordKind.class), names)
-                        .as(QuarantineWord::new);
+        Arbitrary<QuarantineUpdate> words =
+                Combinators.combine(fingerprints, Arbitraries.of(QuarantineUpdateKind.class), names)
+                        .as(QuarantineUpdate::new);
         Arbitrary<PeerMessage> gatewayReports =
                 Combinators.combine(
                                 names,
