--- a/src/main/java/org/martenwell/once/Claim.java
+++ b/src/main/java/org/martenwell/once/Claim.java
@@ -17,4 +17,4 @@
         String requestId,
         long keyMillis,
         ClaimState state,
-        Optional<KeptAnswer> answer) {}
+        Optional<StoredResponse> answer) {}
--- a/src/main/java/org/martenwell/once/ClaimLedger.java
+++ b/src/main/java/org/martenwell/once/ClaimLedger.java
@@ -57,9 +57,9 @@
      * @return Completes when that has taken effect.
      */
     public Promise<Void> ran(
-            String scope, IdempotencyKey key, String requestId, KeptAnswer answer) {
+            String scope, IdempotencyKey key, String requestId, StoredResponse answer) {
         String full = scope + "/" + key.text();
-        return shard(full).change(new AnswerOperation(full, requestId, answer)).toVoid();
+        return shard(full).change(new RecordResponseOperation(full, requestId, answer)).toVoid();
     }
 
     /**
--- a/src/main/java/org/martenwell/once/ClaimOperation.java
+++ b/src/main/java/org/martenwell/once/ClaimOperation.java
@@ -12,7 +12,7 @@
 record ClaimOperation(String key, String requestId, long keyMillis) implements LedgerOperation {
 
     @Override
-    public void apply(LedgerPage page) {
+    public void apply(LedgerClaims page) {
         if (page.find(key).isEmpty()) {
             page.put(new Claim(key, requestId, keyMillis, ClaimState.CLAIMED, Optional.empty()));
         }
--- a/src/main/java/org/martenwell/once/LedgerPage.java
+++ b/src/main/java/org/martenwell/once/LedgerClaims.java
@@ -7,13 +7,13 @@
 import org.martenwell.json.Json;
 
 /** The claims of one ledger object. */
-final class LedgerPage {
+final class LedgerClaims {
 
     /** The claims by key. */
     private final Map<String, Claim> claims = new LinkedHashMap<>();
 
     /** Creates an empty ledger. */
-    LedgerPage() {}
+    LedgerClaims() {}
 
     /**
      * Reads a ledger.
@@ -21,8 +21,8 @@
      * @param value The stored value.
      * @return The ledger.
      */
-    static LedgerPage read(byte[] value) {
-        LedgerPage page = new LedgerPage();
+    static LedgerClaims read(byte[] value) {
+        LedgerClaims page = new LedgerClaims();
         Json.read(value, LedgerDocument.class).claims().forEach(page::put);
         return page;
     }
--- a/src/main/java/org/martenwell/once/LedgerOperation.java
+++ b/src/main/java/org/martenwell/once/LedgerOperation.java
@@ -11,5 +11,5 @@
      *
      * @param page The ledger.
      */
-    void apply(LedgerPage page);
+    void apply(LedgerClaims page);
 }
--- a/src/main/java/org/martenwell/once/LedgerShard.java
+++ b/src/main/java/org/martenwell/once/LedgerShard.java
@@ -49,7 +49,7 @@
     private List<LedgerOperation> waiting = new ArrayList<>();
 
     /** Completes when the changes that wait have taken effect; {@code null} if none wait. */
-    private SettablePromise<LedgerPage> outcome;
+    private SettablePromise<LedgerClaims> outcome;
 
     /** {@code true} while changes are being written. */
     private boolean writing;
@@ -58,7 +58,7 @@
     private long version = -1;
 
     /** The ledger at that version. */
-    private LedgerPage page = new LedgerPage();
+    private LedgerClaims page = new LedgerClaims();
 
     /**
      * Creates a ledger that was not read yet.
@@ -81,12 +81,12 @@
      * @param operation The change.
      * @return The ledger in which it has taken effect. If this fails, it may have all the same.
      */
-    Promise<LedgerPage> change(LedgerOperation operation) {
+    Promise<LedgerClaims> change(LedgerOperation operation) {
         waiting.add(operation);
         if (outcome == null) {
             outcome = new SettablePromise<>();
         }
-        Promise<LedgerPage> result = outcome;
+        Promise<LedgerClaims> result = outcome;
         writeSoon();
         return result;
     }
@@ -103,7 +103,7 @@
     /** Writes all that waits. */
     private void writeAll() {
         List<LedgerOperation> batch = waiting;
-        SettablePromise<LedgerPage> done = outcome;
+        SettablePromise<LedgerClaims> done = outcome;
         waiting = new ArrayList<>();
         outcome = null;
         write(batch, clock.getAsLong() + GIVE_UP_MILLIS)
@@ -122,7 +122,7 @@
      * @param deadline Until when to try.
      * @return The ledger.
      */
-    private Promise<LedgerPage> write(List<LedgerOperation> batch, long deadline) {
+    private Promise<LedgerClaims> write(List<LedgerOperation> batch, long deadline) {
         return read().then(() -> update(batch))
                 .then(Promise::of, exception -> retry(batch, deadline, exception));
     }
@@ -141,8 +141,8 @@
                         found -> {
                             version = found.map(StoredObject::version).orElse(0L);
                             page =
-                                    found.map(object -> LedgerPage.read(object.value()))
-                                            .orElseGet(LedgerPage::new);
+                                    found.map(object -> LedgerClaims.read(object.value()))
+                                            .orElseGet(LedgerClaims::new);
                             return null;
                         });
     }
@@ -153,11 +153,11 @@
      * @param batch The changes.
      * @return The ledger.
      */
-    private Promise<LedgerPage> update(List<LedgerOperation> batch) {
+    private Promise<LedgerClaims> update(List<LedgerOperation> batch) {
         page.forget(clock.getAsLong() - 2 * IdempotencyKey.WINDOW_MILLIS);
         batch.forEach(operation -> operation.apply(page));
         byte[] value = page.write();
-        LedgerPage written = page;
+        LedgerClaims written = page;
         Promise<StoredObject> stored =
                 version == 0
                         ? platform.create(KIND, name, value)
@@ -177,7 +177,7 @@
      * @param exception The failure.
      * @return The ledger.
      */
-    private Promise<LedgerPage> retry(
+    private Promise<LedgerClaims> retry(
             List<LedgerOperation> batch, long deadline, Exception exception) {
         version = -1;
         if (clock.getAsLong() >= deadline) {
--- a/src/main/java/org/martenwell/once/AnswerOperation.java
+++ b/src/main/java/org/martenwell/once/RecordResponseOperation.java
@@ -9,10 +9,11 @@
  * @param requestId The request that claimed it.
  * @param answer The answer.
  */
-record AnswerOperation(String key, String requestId, KeptAnswer answer) implements LedgerOperation {
+record RecordResponseOperation(String key, String requestId, StoredResponse answer)
+        implements LedgerOperation {
 
     @Override
-    public void apply(LedgerPage page) {
+    public void apply(LedgerClaims page) {
         page.findOf(key, requestId)
                 .ifPresent(
                         claim ->
@@ -22,6 +23,6 @@
                                                 requestId,
                                                 claim.keyMillis(),
                                                 ClaimState.RAN,
-                                                Optional.of(answer).filter(KeptAnswer::fits))));
+                                                Optional.of(answer).filter(StoredResponse::fits))));
     }
 }
--- a/src/main/java/org/martenwell/once/ReleaseOperation.java
+++ b/src/main/java/org/martenwell/once/ReleaseOperation.java
@@ -9,7 +9,7 @@
 record ReleaseOperation(String key, String requestId) implements LedgerOperation {
 
     @Override
-    public void apply(LedgerPage page) {
+    public void apply(LedgerClaims page) {
         page.findOf(key, requestId)
                 .filter(claim -> claim.state() == ClaimState.CLAIMED)
                 .ifPresent(page::remove);
--- a/src/main/java/org/martenwell/once/KeptAnswer.java
+++ b/src/main/java/org/martenwell/once/StoredResponse.java
@@ -7,7 +7,7 @@
  * @param contentType The content type or an empty string.
  * @param body The body in Base64.
  */
-public record KeptAnswer(int status, String contentType, String body) {
+public record StoredResponse(int status, String contentType, String body) {
 
     /** The largest body that is kept, in characters of its Base64 form. */
     public static final int MAX_CHARACTERS = 2_048;
--- a/src/main/java/org/martenwell/router/TargetStates.java
+++ b/src/main/java/org/martenwell/router/AcceptingTargets.java
@@ -9,7 +9,7 @@
  * Which targets take new work, from all signs together: the platform's list, what a target's keeper
  * tells, and the target's own refusals.
  */
-final class TargetStates {
+final class AcceptingTargets {
 
     /** How long a target's own refusal counts, in milliseconds. */
     private static final long REFUSAL_MILLIS = 2_000;
@@ -24,7 +24,7 @@
     private final Map<String, Long> refusedUntil = new HashMap<>();
 
     /** Creates states in which all targets take work. */
-    TargetStates() {}
+    AcceptingTargets() {}
 
     /**
      * Takes in the platform's list.
--- a/src/main/java/org/martenwell/router/OnceGuard.java
+++ b/src/main/java/org/martenwell/router/OnceGuard.java
@@ -17,7 +17,7 @@
 import org.martenwell.once.Claim;
 import org.martenwell.once.ClaimLedger;
 import org.martenwell.once.IdempotencyKey;
-import org.martenwell.once.KeptAnswer;
+import org.martenwell.once.StoredResponse;
 
 /** Lets a request with an idempotency key run at most once over the fleet. */
 public final class OnceGuard {
@@ -110,7 +110,7 @@
                                             scope,
                                             key,
                                             id,
-                                            new KeptAnswer(answer.status(), type, encoded))
+                                            new StoredResponse(answer.status(), type, encoded))
                                     .whenException(exception -> logLost(id));
                             return new RoutedAnswer(
                                     answer.status(),
@@ -137,7 +137,7 @@
      * @return The kept answer or the error that tells.
      */
     private static Promise<RoutedAnswer> known(Claim claim) {
-        Optional<KeptAnswer> kept = claim.answer();
+        Optional<StoredResponse> kept = claim.answer();
         if (kept.isPresent()) {
             return Promise.of(keptAnswer(kept.get()));
         }
@@ -161,7 +161,7 @@
      * @param kept The kept answer.
      * @return The answer.
      */
-    private static RoutedAnswer keptAnswer(KeptAnswer kept) {
+    private static RoutedAnswer keptAnswer(StoredResponse kept) {
         byte[] body = Base64.getDecoder().decode(kept.body());
         return new RoutedAnswer(
                 kept.status(),
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -62,7 +62,7 @@
     private final RouteLog log;
 
     /** Is told of targets that refuse work. */
-    private final TargetSigns signs;
+    private final TargetRefusalListener signs;
 
     /** Counts what happens. */
     private final RouterMetrics metrics;
@@ -87,7 +87,7 @@
             FleetScheduler scheduler,
             TargetConnector connector,
             AdmissionControl admission,
-            TargetSigns signs,
+            TargetRefusalListener signs,
             RouterMetrics metrics) {
         this.reactor = reactor;
         this.scheduler = scheduler;
@@ -106,7 +106,7 @@
      */
     public Promise<RoutedAnswer> dispatch(RoutedRequest request) {
         budget.countFresh();
-        return attempt(new RequestLife(request));
+        return attempt(new RequestProgress(request));
     }
 
     /** Counts service of requests whose tokens are not seen. To be called now and then. */
@@ -129,7 +129,7 @@
      * @param life The request's life.
      * @return The answer.
      */
-    private Promise<RoutedAnswer> attempt(RequestLife life) {
+    private Promise<RoutedAnswer> attempt(RequestProgress life) {
         life.begin();
         return assign(life)
                 .then(assignment -> send(life, assignment))
@@ -142,7 +142,7 @@
      * @param life The request's life.
      * @return The slot.
      */
-    private Promise<Assignment> assign(RequestLife life) {
+    private Promise<Assignment> assign(RequestProgress life) {
         long now = reactor.currentTimeMillis();
         WaitingRequest waiting = waitingRequest(life.request(), now);
         Optional<Assignment> lent = scheduler.takeLent(waiting);
@@ -209,7 +209,7 @@
      * @param assignment The slot.
      * @return The answer.
      */
-    private Promise<RoutedAnswer> send(RequestLife life, Assignment assignment) {
+    private Promise<RoutedAnswer> send(RequestProgress life, Assignment assignment) {
         RoutedRequest request = life.request();
         Slot slot = assignment.slot();
         log.routed(life, assignment);
@@ -253,7 +253,7 @@
      * @param answer The beginning of the answer.
      * @return The answer for the caller.
      */
-    private Promise<RoutedAnswer> answered(RequestLife life, Slot slot, TargetResponse answer) {
+    private Promise<RoutedAnswer> answered(RequestProgress life, Slot slot, TargetResponse answer) {
         life.answering();
         chargePrompt(life.request());
         if (life.request().streamed() && answer.status() == 200) {
@@ -283,14 +283,14 @@
      * @param answer The beginning of the answer.
      * @return The answer for the caller.
      */
-    private RoutedAnswer stream(RequestLife life, Slot slot, TargetResponse answer) {
+    private RoutedAnswer stream(RequestProgress life, Slot slot, TargetResponse answer) {
         StreamRelay relay =
                 new StreamRelay(
                         connector,
                         slot.target(),
                         life.request().message().id(),
                         answer.body(),
-                        new SlotStream(life, slot, scheduler, log, metrics));
+                        new StreamAccounting(life, slot, scheduler, log, metrics));
         return new RoutedAnswer(
                 answer.status(),
                 HeaderFields.forCaller(answer.headers()),
@@ -308,7 +308,8 @@
      * @param answer The beginning of the answer.
      * @return The answer for the caller.
      */
-    private Promise<RoutedAnswer> readWhole(RequestLife life, Slot slot, TargetResponse answer) {
+    private Promise<RoutedAnswer> readWhole(
+            RequestProgress life, Slot slot, TargetResponse answer) {
         RoutedRequest request = life.request();
         long startedAt = reactor.currentTimeMillis();
         ServiceMeter meter =
@@ -386,7 +387,7 @@
      * @param exception Why the attempt failed.
      * @return The answer of another attempt or the failure.
      */
-    private Promise<RoutedAnswer> failed(RequestLife life, Exception exception) {
+    private Promise<RoutedAnswer> failed(RequestProgress life, Exception exception) {
         MartenwellException failure =
                 exception instanceof MartenwellException known
                         ? known
--- a/src/main/java/org/martenwell/router/RequestLife.java
+++ b/src/main/java/org/martenwell/router/RequestProgress.java
@@ -4,7 +4,7 @@
 import org.martenwell.error.Outcome;
 
 /** The course of one request through this router, over all its attempts. */
-final class RequestLife {
+final class RequestProgress {
 
     /** The most attempts. */
     private static final int MAX_ATTEMPTS = 3;
@@ -29,7 +29,7 @@
      *
      * @param request The request.
      */
-    RequestLife(RoutedRequest request) {
+    RequestProgress(RoutedRequest request) {
         this.request = request;
     }
 
--- a/src/main/java/org/martenwell/router/RouteLog.java
+++ b/src/main/java/org/martenwell/router/RouteLog.java
@@ -30,7 +30,7 @@
      * @param life The request's life.
      * @param assignment Its slot.
      */
-    void routed(RequestLife life, Assignment assignment) {
+    void routed(RequestProgress life, Assignment assignment) {
         LOGGER.info(
                 line("route", life.request())
                         .with("verdict", "admitted")
--- a/src/main/java/org/martenwell/router/SlotStream.java
+++ b/src/main/java/org/martenwell/router/StreamAccounting.java
@@ -4,10 +4,10 @@
 import org.martenwell.schedule.Slot;
 
 /** Counts the service of one stream and gives its slot back at the end. */
-final class SlotStream implements StreamListener {
+final class StreamAccounting implements StreamListener {
 
     /** The request's life. */
-    private final RequestLife life;
+    private final RequestProgress life;
 
     /** The slot. */
     private final Slot slot;
@@ -30,8 +30,8 @@
      * @param log Logs what happens.
      * @param metrics Counts what happens.
      */
-    SlotStream(
-            RequestLife life,
+    StreamAccounting(
+            RequestProgress life,
             Slot slot,
             FleetScheduler scheduler,
             RouteLog log,
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -16,7 +16,7 @@
 import org.martenwell.target.TargetConnector;
 
 /** Watches the targets that this router keeps and tells the fleet which take new work. */
-public final class TargetMonitor implements TargetSigns {
+public final class TargetMonitor implements TargetRefusalListener {
 
     /** How many reports in a row a target may miss. */
     private static final int MAX_MISSED = 3;
@@ -40,7 +40,7 @@
     private final MessageSender sender;
 
     /** Which targets take new work. */
-    private final TargetStates states = new TargetStates();
+    private final AcceptingTargets states = new AcceptingTargets();
 
     /** What the scheduler was told, by target. */
     private final Map<String, Boolean> applied = new HashMap<>();
--- a/src/main/java/org/martenwell/router/TargetSigns.java
+++ b/src/main/java/org/martenwell/router/TargetRefusalListener.java
@@ -4,7 +4,7 @@
 
 /** Is told of signs that a target takes no new work. */
 @FunctionalInterface
-public interface TargetSigns {
+public interface TargetRefusalListener {
 
     /**
      * Called when a target refused a request before it started.
--- a/src/test/java/org/martenwell/once/ClaimLedgerTest.java
+++ b/src/test/java/org/martenwell/once/ClaimLedgerTest.java
@@ -68,25 +68,27 @@
 
     @Test
     void testAnswerIsKeptAndReleaseFreesTheKey() {
-        LedgerPage page = new LedgerPage();
+        LedgerClaims page = new LedgerClaims();
         new ClaimOperation("k", "one", 5).apply(page);
         new ReleaseOperation("k", "two").apply(page);
         assertThat(page.find("k")).isPresent();
         new ReleaseOperation("k", "one").apply(page);
         assertThat(page.find("k")).isEmpty();
         new ClaimOperation("k", "two", 5).apply(page);
-        new AnswerOperation("k", "two", new KeptAnswer(200, "t", "Ym9keQ==")).apply(page);
+        new RecordResponseOperation("k", "two", new StoredResponse(200, "t", "Ym9keQ=="))
+                .apply(page);
         new ReleaseOperation("k", "two").apply(page);
-        Claim claim = LedgerPage.read(page.write()).find("k").orElseThrow();
+        Claim claim = LedgerClaims.read(page.write()).find("k").orElseThrow();
         assertThat(claim.state()).isEqualTo(ClaimState.RAN);
-        assertThat(claim.answer()).contains(new KeptAnswer(200, "t", "Ym9keQ=="));
+        assertThat(claim.answer()).contains(new StoredResponse(200, "t", "Ym9keQ=="));
     }
 
     @Test
     void testAnswerThatIsTooLargeIsNotKept() {
-        LedgerPage page = new LedgerPage();
+        LedgerClaims page = new LedgerClaims();
         new ClaimOperation("k", "one", 5).apply(page);
-        new AnswerOperation("k", "one", new KeptAnswer(200, "t", "x".repeat(5_000))).apply(page);
+        new RecordResponseOperation("k", "one", new StoredResponse(200, "t", "x".repeat(5_000)))
+                .apply(page);
         assertThat(page.find("k").orElseThrow().answer()).isEmpty();
         assertThat(page.find("k").orElseThrow().state()).isEqualTo(ClaimState.RAN);
     }
