--- a/src/main/java/org/martenwell/objects/Box.java
+++ b/src/main/java/org/martenwell/objects/Box.java
@@ -1,13 +1,13 @@
 package org.martenwell.objects;
 
 /**
- * One entry of the platform's list of boxes, which lags.
+ * Entry of the platform's box list, which may be outdated.
  *
- * @param name The name of the router or target that runs there.
- * @param role What runs there.
- * @param address The address for peers if a router runs there, else the target's address.
+ * @param name The name of the router or target that runs on the box.
+ * @param role The kind of process that runs on the box.
+ * @param address The peer address of a router, or the address of a target.
  * @param failureDomain The failure domain.
- * @param state Whether it works or is about to go.
+ * @param state The state of the box.
  */
 public record Box(
         String name, BoxRole role, String address, String failureDomain, BoxState state) {}
--- a/src/main/java/org/martenwell/objects/BoxRole.java
+++ b/src/main/java/org/martenwell/objects/BoxRole.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What runs on a box. */
+/** Kind of process that runs on a box. */
 public enum BoxRole {
 
     /** A router. */
--- a/src/main/java/org/martenwell/objects/BoxState.java
+++ b/src/main/java/org/martenwell/objects/BoxState.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What the box list says of a box. */
+/** State of a box in the platform's list. */
 public enum BoxState {
 
-    /** The box works. */
+    /** In operation. */
     @JsonProperty("live")
     LIVE,
 
-    /** The box is about to go. */
+    /** About to be removed. */
     @JsonProperty("leaving")
     LEAVING
 }
--- a/src/main/java/org/martenwell/objects/HttpPlatform.java
+++ b/src/main/java/org/martenwell/objects/HttpPlatform.java
@@ -18,45 +18,42 @@
 import org.martenwell.json.JsonDocuments;
 
 /**
- * The platform over HTTP: {@code /objects/KIND/NAME} with entity tags for versions (RFC 9110,
- * section 13), long polling for watches, and {@code /boxes}.
+ * Client of the platform over HTTP: {@code /objects/KIND/NAME} with entity tags as versions (RFC
+ * 9110, section 13), long polling for watches, and {@code /boxes}.
  */
 public final class HttpPlatform implements Platform {
 
-    /** How long a call other than a watch may take, in milliseconds. */
+    /** Timeout of a call; a watch adds its waiting time. */
     private static final long TIMEOUT_MILLIS = 2_000;
 
-    /** The body of a request without one. */
     private static final byte[] NO_BODY = {};
 
-    /** Sends requests. */
-    private final HttpCalls calls;
+    private final HttpCalls httpClient;
 
-    /** The start of every URL. */
-    private final String base;
+    private final String baseUrl;
 
-    /** The calls made. */
-    private long count;
+    private long callCount;
 
     /**
-     * Creates an adapter.
+     * Creates a client.
      *
-     * @param calls Sends requests.
-     * @param address The platform's address.
+     * @param httpClient The HTTP client.
+     * @param address The platform's address, as host and port.
      */
-    public HttpPlatform(HttpCalls calls, String address) {
-        this.calls = calls;
-        this.base = "http://" + address;
+    public HttpPlatform(HttpCalls httpClient, String address) {
+        this.httpClient = httpClient;
+        this.baseUrl = "http://" + address;
     }
 
     @Override
     public Promise<Optional<StoredObject>> read(String kind, String name) {
         return call(HttpMethod.GET, path(kind, name), List.of(), NO_BODY, TIMEOUT_MILLIS)
                 .map(
-                        answer ->
-                                answer.status() == 404
+                        response ->
+                                response.status() == 404
                                         ? Optional.empty()
-                                        : Optional.of(object(kind, name, answer, answer.body())));
+                                        : Optional.of(
+                                                object(kind, name, response, response.body())));
     }
 
     @Override
@@ -73,130 +70,83 @@
     public Promise<List<StoredObject>> watch(String kind, long after, long waitMillis) {
         String path = "/objects/" + kind + "?after=" + after + "&waitMillis=" + waitMillis;
         return call(HttpMethod.GET, path, List.of(), NO_BODY, waitMillis + TIMEOUT_MILLIS)
-                .map(answer -> objects(kind, answer.body()));
+                .map(response -> objects(kind, response.body()));
     }
 
     @Override
     public Promise<List<Box>> boxes() {
         return call(HttpMethod.GET, "/boxes", List.of(), NO_BODY, TIMEOUT_MILLIS)
-                .map(answer -> List.of(Json.read(answer.body(), Box[].class)));
+                .map(response -> List.of(Json.read(response.body(), Box[].class)));
     }
 
     @Override
     public long calls() {
-        return count;
+        return callCount;
     }
 
-    /**
-     * Returns the path of an object.
-     *
-     * @param kind The object's kind.
-     * @param name The object's name.
-     * @return The path.
-     */
     private static String path(String kind, String name) {
         return "/objects/" + kind + "/" + name;
     }
 
-    /**
-     * Writes an object under a condition.
-     *
-     * @param kind The object's kind.
-     * @param name The object's name.
-     * @param value The value.
-     * @param condition The condition.
-     * @return The new version.
-     */
     private Promise<StoredObject> write(
             String kind, String name, byte[] value, HeaderField condition) {
         return call(HttpMethod.PUT, path(kind, name), List.of(condition), value, TIMEOUT_MILLIS)
-                .map(answer -> object(kind, name, answer, value));
+                .map(response -> object(kind, name, response, value));
     }
 
-    /**
-     * Makes a call and turns failures into error kinds.
-     *
-     * @param method The method.
-     * @param path The path and query.
-     * @param headers The header fields.
-     * @param body The body.
-     * @param timeoutMillis How long the call may take, in milliseconds.
-     * @return The answer.
-     */
     private Promise<HttpAnswer> call(
             HttpMethod method,
             String path,
             List<HeaderField> headers,
             byte[] body,
             long timeoutMillis) {
-        count++;
-        return calls.exchange(method, base + path, headers, body, timeoutMillis)
-                .mapException(HttpPlatform::unavailable)
+        callCount++;
+        return httpClient
+                .exchange(method, baseUrl + path, headers, body, timeoutMillis)
+                .mapException(HttpPlatform::toUnavailable)
                 .map(HttpPlatform::checkStatus);
     }
 
-    /**
-     * Turns a failed call into its error kind.
-     *
-     * @param exception The failure.
-     * @return The exception that states the error kind.
-     */
-    private static MartenwellException unavailable(Exception exception) {
+    private static MartenwellException toUnavailable(Exception exception) {
         return MartenwellException.of(
-                ErrorKind.PLATFORM_UNAVAILABLE, "The platform did not answer.", exception);
+                ErrorKind.PLATFORM_UNAVAILABLE, "The platform did not respond.", exception);
     }
 
-    /**
-     * Throws an exception for a status that is neither success nor absence.
-     *
-     * @param answer The answer.
-     * @return The answer.
-     */
-    private static HttpAnswer checkStatus(HttpAnswer answer) {
-        int status = answer.status();
+    /** Throws an exception for an error status other than 404. */
+    private static HttpAnswer checkStatus(HttpAnswer response) {
+        int status = response.status();
         if (status == 409 || status == 412) {
-            throw MartenwellException.of(ErrorKind.VERSION_CONFLICT, "The object changed.");
+            throw MartenwellException.of(
+                    ErrorKind.VERSION_CONFLICT, "The object was changed concurrently.");
         }
         if (status == 429) {
             throw MartenwellException.of(
-                            ErrorKind.PLATFORM_UNAVAILABLE, "The platform's rate is used up.")
+                            ErrorKind.PLATFORM_UNAVAILABLE,
+                            "The rate limit of the platform is exceeded.")
                     .withOutcome(Outcome.NOT_RUN);
         }
         if (status >= 300 && status != 404) {
             throw MartenwellException.of(
-                    ErrorKind.PLATFORM_UNAVAILABLE, "The platform answered " + status + ".");
+                    ErrorKind.PLATFORM_UNAVAILABLE,
+                    "The platform responded with status " + status + ".");
         }
-        return answer;
+        return response;
     }
 
-    /**
-     * Builds an object from an answer.
-     *
-     * @param kind The object's kind.
-     * @param name The object's name.
-     * @param answer The answer with the version as its entity tag.
-     * @param value The value.
-     * @return The object.
-     */
-    private static StoredObject object(String kind, String name, HttpAnswer answer, byte[] value) {
+    /** Builds an object whose version is the response's entity tag. */
+    private static StoredObject object(
+            String kind, String name, HttpAnswer response, byte[] value) {
         String tag =
-                HeaderFields.find(answer.headers(), "ETag")
+                HeaderFields.find(response.headers(), "ETag")
                         .orElseThrow(
                                 () ->
                                         MartenwellException.of(
                                                 ErrorKind.PLATFORM_UNAVAILABLE,
-                                                "The platform told no version."));
+                                                "The response of the platform has no ETag."));
         long version = Long.parseLong(tag.replace("\"", ""));
         return new StoredObject(kind, name, version, value);
     }
 
-    /**
-     * Reads a list of objects.
-     *
-     * @param kind The objects' kind.
-     * @param body The list.
-     * @return The objects.
-     */
     private static List<StoredObject> objects(String kind, byte[] body) {
         List<StoredObject> objects = new ArrayList<>();
         for (JsonNode item : Json.read(body)) {
--- a/src/main/java/org/martenwell/objects/ObjectItem.java
+++ b/src/main/java/org/martenwell/objects/ObjectItem.java
@@ -1,10 +1,10 @@
 package org.martenwell.objects;
 
 /**
- * The wire form of an object in a list.
+ * JSON form of an object in the response to a watch.
  *
  * @param name The object's name.
  * @param version The object's version.
- * @param value The value, in Base64 on the wire.
+ * @param value The value in Base64.
  */
 public record ObjectItem(String name, long version, String value) {}
--- a/src/main/java/org/martenwell/objects/StoredObject.java
+++ b/src/main/java/org/martenwell/objects/StoredObject.java
@@ -1,26 +1,22 @@
 package org.martenwell.objects;
 
-/** One version of an object of the platform's service. */
+/** One version of an object in the platform's object service. */
 public final class StoredObject {
 
-    /** The object's kind. */
     private final String kind;
 
-    /** The object's name within its kind. */
     private final String name;
 
-    /** The version, which grows with every write to the service. */
     private final long version;
 
-    /** The value. */
     private final byte[] value;
 
     /**
      * Creates a version of an object.
      *
      * @param kind The object's kind.
-     * @param name The object's name within its kind.
-     * @param version The version, which grows with every write to the service.
+     * @param name The object's name, unique within its kind.
+     * @param version The version, which increases with every write to any object of the service.
      * @param value The value, not copied.
      */
     public StoredObject(String kind, String name, long version, byte[] value) {
@@ -30,38 +26,22 @@
         this.value = value;
     }
 
-    /**
-     * Returns the object's kind.
-     *
-     * @return The kind.
-     */
+    /** {@return the object's kind} */
     public String kind() {
         return kind;
     }
 
-    /**
-     * Returns the object's name within its kind.
-     *
-     * @return The name.
-     */
+    /** {@return the object's name, unique within its kind} */
     public String name() {
         return name;
     }
 
-    /**
-     * Returns the version.
-     *
-     * @return The version.
-     */
+    /** {@return the version, which increases with every write to any object of the service} */
     public long version() {
         return version;
     }
 
-    /**
-     * Returns the value.
-     *
-     * @return The value, not copied.
-     */
+    /** {@return the value, not copied} */
     public byte[] value() {
         return value;
     }
--- a/src/main/java/org/martenwell/objects/package-info.java
+++ b/src/main/java/org/martenwell/objects/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's object service and box list, behind an interface that hides their wire form. */
+/** Client of the platform's object service and box list. */
 package org.martenwell.objects;
--- a/src/main/java/org/martenwell/once/ClaimLedger.java
+++ b/src/main/java/org/martenwell/once/ClaimLedger.java
@@ -9,21 +9,22 @@
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.objects.Platform;
 
-/** The claims of all keys, spread over a fixed number of ledger objects by the key's hash. */
+/**
+ * Claims of idempotency keys, distributed over a fixed number of ledger objects by the key's hash.
+ */
 public final class ClaimLedger {
 
-    /** How many ledger objects there are; all routers must agree. */
+    /** Number of ledger objects; must be the same on all routers. */
     private static final int SHARDS = 64;
 
-    /** The ledger objects. */
     private final List<LedgerShard> shards = new ArrayList<>();
 
     /**
-     * Creates a ledger that was not read yet.
+     * Creates a ledger. The ledger objects are read on first use.
      *
-     * @param platform The platform.
-     * @param clock Gives the time.
-     * @param random Spreads tries.
+     * @param platform The object service that stores the ledger.
+     * @param clock The current time in milliseconds since 1970.
+     * @param random The source of jitter for retries.
      */
     public ClaimLedger(Platform platform, LongSupplier clock, Random random) {
         for (int index = 0; index < SHARDS; index++) {
@@ -37,14 +38,17 @@
      * @param scope The organisation and service that the key belongs to.
      * @param key The key.
      * @param requestId The request.
-     * @return Empty if the request has the claim and may run, else the claim of another. If this
-     *     fails, the request must not run.
+     * @return Empty if the request holds the claim and may run, else the claim of another request.
+     *     If this fails, the request must not run.
      */
     public Promise<Optional<Claim>> claim(String scope, IdempotencyKey key, String requestId) {
-        String full = scope + "/" + key.text();
-        return shard(full)
-                .change(new ClaimOperation(full, requestId, key.millis()))
-                .map(page -> page.find(full).filter(claim -> !claim.requestId().equals(requestId)));
+        String qualifiedKey = scope + "/" + key.text();
+        return shard(qualifiedKey)
+                .change(new ClaimOperation(qualifiedKey, requestId, key.millis()))
+                .map(
+                        claims ->
+                                claims.find(qualifiedKey)
+                                        .filter(claim -> !claim.requestId().equals(requestId)));
     }
 
     /**
@@ -53,35 +57,31 @@
      * @param scope The organisation and service that the key belongs to.
      * @param key The key.
      * @param requestId The request.
-     * @param answer Its answer.
-     * @return Completes when that has taken effect.
+     * @param response The response to the request.
+     * @return A promise that completes when the record is stored.
      */
-    public Promise<Void> ran(
-            String scope, IdempotencyKey key, String requestId, StoredResponse answer) {
-        String full = scope + "/" + key.text();
-        return shard(full).change(new RecordResponseOperation(full, requestId, answer)).toVoid();
+    public Promise<Void> recordResponse(
+            String scope, IdempotencyKey key, String requestId, StoredResponse response) {
+        String qualifiedKey = scope + "/" + key.text();
+        return shard(qualifiedKey)
+                .change(new RecordResponseOperation(qualifiedKey, requestId, response))
+                .toVoid();
     }
 
     /**
-     * Gives up the claim of a request that certainly did not run.
+     * Releases the claim of a request that did not run and will not run.
      *
      * @param scope The organisation and service that the key belongs to.
      * @param key The key.
      * @param requestId The request.
-     * @return Completes when that has taken effect.
+     * @return A promise that completes when the release is stored.
      */
     public Promise<Void> release(String scope, IdempotencyKey key, String requestId) {
-        String full = scope + "/" + key.text();
-        return shard(full).change(new ReleaseOperation(full, requestId)).toVoid();
+        String qualifiedKey = scope + "/" + key.text();
+        return shard(qualifiedKey).change(new ReleaseOperation(qualifiedKey, requestId)).toVoid();
     }
 
-    /**
-     * Finds the ledger object of a key.
-     *
-     * @param full The organisation, the service and the key.
-     * @return The ledger object.
-     */
-    private LedgerShard shard(String full) {
-        return shards.get((int) Math.floorMod(RendezvousHash.hash(full), (long) SHARDS));
+    private LedgerShard shard(String qualifiedKey) {
+        return shards.get((int) Math.floorMod(RendezvousHash.hash(qualifiedKey), (long) SHARDS));
     }
 }
--- a/src/main/java/org/martenwell/once/ClaimState.java
+++ b/src/main/java/org/martenwell/once/ClaimState.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What a ledger knows of a claimed request. */
+/** State of a claimed request. */
 public enum ClaimState {
 
-    /** A router may be running it, or was when it ended. */
+    /** The request may be running, or was interrupted when its router failed. */
     @JsonProperty("claimed")
     CLAIMED,
 
-    /** It ran, and its answer is kept unless it was too large. */
+    /** The request ran. Its response is stored unless it was too large. */
     @JsonProperty("ran")
     RAN
 }
--- a/src/main/java/org/martenwell/once/IdempotencyKey.java
+++ b/src/main/java/org/martenwell/once/IdempotencyKey.java
@@ -6,33 +6,35 @@
 import org.martenwell.error.MartenwellException;
 
 /**
- * A caller's idempotency key, a UUID of version 7 (RFC 9562), whose time tells how old it is.
+ * Idempotency key sent by a caller: a UUID of version 7 (RFC 9562), which contains a timestamp.
  *
- * @param text The key in its usual form.
- * @param millis When it was made, in milliseconds since 1970.
+ * @param text The UUID in its canonical form.
+ * @param millis The timestamp of the UUID, in milliseconds since 1970.
  */
 public record IdempotencyKey(String text, long millis) {
 
-    /** How old a key may be, in milliseconds. Ledgers keep claims for twice as long. */
+    /** Maximum age of a key in milliseconds. Ledgers store claims for twice as long. */
     public static final long WINDOW_MILLIS = 120_000;
 
-    /** The version of UUIDs that carry a time. */
-    private static final int VERSION = 7;
+    /** UUID version that contains a timestamp. */
+    private static final int UUID_VERSION = 7;
 
-    /** The bits behind the time in the first half of a UUID. */
+    /** Number of bits after the timestamp in the most significant half of the UUID. */
     private static final int TIME_SHIFT = 16;
 
     /**
-     * Reads a key, or throws an exception if it is none or out of the window.
+     * Parses a key. Throws a {@link MartenwellException} with {@link ErrorKind#MALFORMED_REQUEST}
+     * if it is no UUID of version 7, or with {@link ErrorKind#KEY_EXPIRED} if its timestamp differs
+     * from the current time by more than {@link #WINDOW_MILLIS}.
      *
      * @param text The key.
-     * @param now The time.
+     * @param now The current time in milliseconds since 1970.
      * @return The key.
      */
     public static IdempotencyKey of(String text, long now) {
         UUID uuid =
                 parse(text)
-                        .filter(each -> each.version() == VERSION)
+                        .filter(each -> each.version() == UUID_VERSION)
                         .orElseThrow(
                                 () ->
                                         MartenwellException.of(
@@ -47,12 +49,6 @@
         return new IdempotencyKey(uuid.toString(), millis);
     }
 
-    /**
-     * Parses a UUID.
-     *
-     * @param text The text.
-     * @return The UUID.
-     */
     private static Optional<UUID> parse(String text) {
         try {
             return Optional.of(UUID.fromString(text));
--- a/src/main/java/org/martenwell/once/LedgerClaims.java
+++ b/src/main/java/org/martenwell/once/LedgerClaims.java
@@ -6,29 +6,28 @@
 import java.util.Optional;
 import org.martenwell.json.Json;
 
-/** The claims of one ledger object. */
+/** Claims of one ledger object, by key. */
 final class LedgerClaims {
 
-    /** The claims by key. */
     private final Map<String, Claim> claims = new LinkedHashMap<>();
 
-    /** Creates an empty ledger. */
+    /** Creates an empty set of claims. */
     LedgerClaims() {}
 
     /**
-     * Reads a ledger.
+     * Parses a stored ledger object.
      *
      * @param value The stored value.
-     * @return The ledger.
+     * @return The claims.
      */
     static LedgerClaims read(byte[] value) {
-        LedgerClaims page = new LedgerClaims();
-        Json.read(value, LedgerDocument.class).claims().forEach(page::put);
-        return page;
+        LedgerClaims ledger = new LedgerClaims();
+        Json.read(value, LedgerDocument.class).claims().forEach(ledger::put);
+        return ledger;
     }
 
     /**
-     * Writes the ledger.
+     * Serializes the claims.
      *
      * @return The value to store.
      */
@@ -37,28 +36,28 @@
     }
 
     /**
-     * Finds a claim.
+     * Finds the claim of a key.
      *
-     * @param key The key.
-     * @return The claim.
+     * @param key The qualified key.
+     * @return The claim, or empty if the key is not claimed.
      */
     Optional<Claim> find(String key) {
         return Optional.ofNullable(claims.get(key));
     }
 
     /**
-     * Finds a claim of one request.
+     * Finds the claim of a key if the given request holds it.
      *
-     * @param key The key.
+     * @param key The qualified key.
      * @param requestId The request.
-     * @return The claim or empty if it is another's.
+     * @return The claim, or empty if the key is not claimed or another request holds the claim.
      */
-    Optional<Claim> findOf(String key, String requestId) {
+    Optional<Claim> findForRequest(String key, String requestId) {
         return find(key).filter(claim -> claim.requestId().equals(requestId));
     }
 
     /**
-     * Adds or replaces a claim.
+     * Adds a claim or replaces the claim of the same key.
      *
      * @param claim The claim.
      */
@@ -76,11 +75,11 @@
     }
 
     /**
-     * Forgets claims whose keys are so old that they are refused.
+     * Removes claims whose keys are expired.
      *
-     * @param before The time before which keys are forgotten.
+     * @param before The time before which timestamps are expired, in milliseconds since 1970.
      */
-    void forget(long before) {
+    void removeOlderThan(long before) {
         claims.values().removeIf(claim -> claim.keyMillis() < before);
     }
 }
--- a/src/main/java/org/martenwell/once/LedgerDocument.java
+++ b/src/main/java/org/martenwell/once/LedgerDocument.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A ledger object as it is stored.
+ * JSON form of a ledger object.
  *
  * @param claims The claims.
  */
--- a/src/main/java/org/martenwell/once/LedgerOperation.java
+++ b/src/main/java/org/martenwell/once/LedgerOperation.java
@@ -1,15 +1,15 @@
 package org.martenwell.once;
 
 /**
- * A change of a ledger. Applied twice it does no more than once, so it may be applied again
- * whenever it is not known whether a write took effect.
+ * Change of a ledger object. Operations are idempotent, so that they can be applied again when the
+ * result of a write is unknown.
  */
 interface LedgerOperation {
 
     /**
      * Applies the change.
      *
-     * @param page The ledger.
+     * @param claims The claims to change.
      */
-    void apply(LedgerClaims page);
+    void apply(LedgerClaims claims);
 }
--- a/src/main/java/org/martenwell/once/LedgerShard.java
+++ b/src/main/java/org/martenwell/once/LedgerShard.java
@@ -15,58 +15,52 @@
 import org.martenwell.objects.StoredObject;
 
 /**
- * One ledger object, as one router changes it. All changes that wait go into one conditional
- * update; the object's version is the fence. If an update fails, for whatever reason, the object is
- * read and the changes are applied again, which does no harm if they had taken effect.
+ * One ledger object as changed by this router. Pending operations are written together by a
+ * conditional update. After any failure, the object is read again and the operations are applied
+ * again, which is safe because they are idempotent.
  */
 final class LedgerShard {
 
-    /** The kind of the platform's objects that hold ledgers. */
+    /** Kind of the platform objects that contain the ledger. */
     static final String KIND = "ledger";
 
-    /** How long changes are gathered, in milliseconds. */
-    private static final long GATHER_MILLIS = 3;
+    /** Delay before a write, to batch concurrent operations. */
+    private static final long BATCH_DELAY_MILLIS = 3;
 
-    /** How long changes are tried before they are given up, in milliseconds. */
-    private static final long GIVE_UP_MILLIS = 3_000;
+    /** Time after which a failed batch is not retried. */
+    private static final long WRITE_TIMEOUT_MILLIS = 3_000;
 
-    /** The longest pause before another try, in milliseconds. */
-    private static final int PAUSE_MILLIS = 20;
+    /** Maximum delay before a retry. */
+    private static final int MAX_RETRY_DELAY_MILLIS = 20;
 
-    /** The object's name. */
     private final String name;
 
-    /** The platform. */
     private final Platform platform;
 
-    /** Gives the time. */
     private final LongSupplier clock;
 
-    /** Spreads tries. */
     private final Random random;
 
-    /** The changes that wait. */
-    private List<LedgerOperation> waiting = new ArrayList<>();
+    private List<LedgerOperation> pending = new ArrayList<>();
 
-    /** Completes when the changes that wait have taken effect; {@code null} if none wait. */
-    private SettablePromise<LedgerClaims> outcome;
+    /** Result of the pending operations; {@code null} if there are none. */
+    private SettablePromise<LedgerClaims> pendingResult;
 
-    /** {@code true} while changes are being written. */
     private boolean writing;
 
-    /** The version last read or written, 0 if there is no object, negative if it has to be read. */
+    /** Version last read or written; 0 if the object does not exist, negative if unknown. */
     private long version = -1;
 
-    /** The ledger at that version. */
-    private LedgerClaims page = new LedgerClaims();
+    /** Claims at {@code version}. */
+    private LedgerClaims claims = new LedgerClaims();
 
     /**
-     * Creates a ledger that was not read yet.
+     * Creates a shard. The object is read on first use.
      *
      * @param name The object's name.
-     * @param platform The platform.
-     * @param clock Gives the time.
-     * @param random Spreads tries.
+     * @param platform The object service that stores the ledger.
+     * @param clock The current time in milliseconds since 1970.
+     * @param random The source of jitter for retries.
      */
     LedgerShard(String name, Platform platform, LongSupplier clock, Random random) {
         this.name = name;
@@ -76,62 +70,51 @@
     }
 
     /**
-     * Makes a change.
+     * Applies an operation.
      *
-     * @param operation The change.
-     * @return The ledger in which it has taken effect. If this fails, it may have all the same.
+     * @param operation The operation.
+     * @return The claims after the operation took effect. If this fails, the operation may still
+     *     have taken effect.
      */
     Promise<LedgerClaims> change(LedgerOperation operation) {
-        waiting.add(operation);
-        if (outcome == null) {
-            outcome = new SettablePromise<>();
+        pending.add(operation);
+        if (pendingResult == null) {
+            pendingResult = new SettablePromise<>();
         }
-        Promise<LedgerClaims> result = outcome;
-        writeSoon();
+        Promise<LedgerClaims> result = pendingResult;
+        scheduleWrite();
         return result;
     }
 
-    /** Writes what waits after a moment, if nothing is being written. */
-    private void writeSoon() {
-        if (writing || outcome == null) {
+    /** Schedules a write of the pending operations, unless one is scheduled or running. */
+    private void scheduleWrite() {
+        if (writing || pendingResult == null) {
             return;
         }
         writing = true;
-        Promises.delay(Duration.ofMillis(GATHER_MILLIS)).whenResult(this::writeAll);
+        Promises.delay(Duration.ofMillis(BATCH_DELAY_MILLIS)).whenResult(this::writePending);
     }
 
-    /** Writes all that waits. */
-    private void writeAll() {
-        List<LedgerOperation> batch = waiting;
-        SettablePromise<LedgerClaims> done = outcome;
-        waiting = new ArrayList<>();
-        outcome = null;
-        write(batch, clock.getAsLong() + GIVE_UP_MILLIS)
+    private void writePending() {
+        List<LedgerOperation> batch = pending;
+        SettablePromise<LedgerClaims> result = pendingResult;
+        pending = new ArrayList<>();
+        pendingResult = null;
+        write(batch, clock.getAsLong() + WRITE_TIMEOUT_MILLIS)
                 .whenComplete(
-                        (result, exception) -> {
+                        (updated, exception) -> {
                             writing = false;
-                            done.set(result, exception);
-                            writeSoon();
+                            result.set(updated, exception);
+                            scheduleWrite();
                         });
     }
 
-    /**
-     * Writes changes, again and again until they have taken effect or time is up.
-     *
-     * @param batch The changes.
-     * @param deadline Until when to try.
-     * @return The ledger.
-     */
     private Promise<LedgerClaims> write(List<LedgerOperation> batch, long deadline) {
         return read().then(() -> update(batch))
                 .then(Promise::of, exception -> retry(batch, deadline, exception));
     }
 
-    /**
-     * Reads the object if its version is not known.
-     *
-     * @return Completes when it is.
-     */
+    /** Reads the object if its version is unknown. */
     private Promise<Void> read() {
         if (version >= 0) {
             return Promise.complete();
@@ -140,24 +123,18 @@
                 .map(
                         found -> {
                             version = found.map(StoredObject::version).orElse(0L);
-                            page =
+                            claims =
                                     found.map(object -> LedgerClaims.read(object.value()))
                                             .orElseGet(LedgerClaims::new);
                             return null;
                         });
     }
 
-    /**
-     * Applies changes and writes the object under its version.
-     *
-     * @param batch The changes.
-     * @return The ledger.
-     */
     private Promise<LedgerClaims> update(List<LedgerOperation> batch) {
-        page.forget(clock.getAsLong() - 2 * IdempotencyKey.WINDOW_MILLIS);
-        batch.forEach(operation -> operation.apply(page));
-        byte[] value = page.write();
-        LedgerClaims written = page;
+        claims.removeOlderThan(clock.getAsLong() - 2 * IdempotencyKey.WINDOW_MILLIS);
+        batch.forEach(operation -> operation.apply(claims));
+        byte[] value = claims.write();
+        LedgerClaims written = claims;
         Promise<StoredObject> stored =
                 version == 0
                         ? platform.create(KIND, name, value)
@@ -169,14 +146,7 @@
                 });
     }
 
-    /**
-     * Tries again after a failure, from what the platform holds then.
-     *
-     * @param batch The changes.
-     * @param deadline Until when to try.
-     * @param exception The failure.
-     * @return The ledger.
-     */
+    /** Retries a failed batch from the current state of the object, until the deadline. */
     private Promise<LedgerClaims> retry(
             List<LedgerOperation> batch, long deadline, Exception exception) {
         version = -1;
@@ -184,11 +154,11 @@
             return Promise.ofException(
                     MartenwellException.of(
                                     ErrorKind.PLATFORM_UNAVAILABLE,
-                                    "The ledger can't be written.",
+                                    "The ledger could not be written.",
                                     exception)
                             .withOutcome(Outcome.UNKNOWN));
         }
-        return Promises.delay(Duration.ofMillis(1 + random.nextInt(PAUSE_MILLIS)))
+        return Promises.delay(Duration.ofMillis(1 + random.nextInt(MAX_RETRY_DELAY_MILLIS)))
                 .then(() -> write(batch, deadline));
     }
 }
--- a/src/main/java/org/martenwell/once/ReleaseOperation.java
+++ b/src/main/java/org/martenwell/once/ReleaseOperation.java
@@ -1,17 +1,17 @@
 package org.martenwell.once;
 
 /**
- * Gives up a claim, because its request certainly did not run and will not.
+ * Removes the claim of a request that did not run and will not run.
  *
- * @param key The key.
- * @param requestId The request that claimed it.
+ * @param key The qualified key.
+ * @param requestId The request that claimed the key.
  */
 record ReleaseOperation(String key, String requestId) implements LedgerOperation {
 
     @Override
-    public void apply(LedgerClaims page) {
-        page.findOf(key, requestId)
+    public void apply(LedgerClaims claims) {
+        claims.findForRequest(key, requestId)
                 .filter(claim -> claim.state() == ClaimState.CLAIMED)
-                .ifPresent(page::remove);
+                .ifPresent(claims::remove);
     }
 }
--- a/src/main/java/org/martenwell/once/package-info.java
+++ b/src/main/java/org/martenwell/once/package-info.java
@@ -1,5 +1,6 @@
 /**
- * At most once over the fleet: claims of idempotency keys, kept in ledger objects on the platform's
- * service, whose versions are the fence.
+ * At-most-once execution over the fleet: routers claim idempotency keys in ledger objects of the
+ * platform's object service. Conditional updates ensure that only one request gets the claim of a
+ * key.
  */
 package org.martenwell.once;
--- a/src/main/java/org/martenwell/router/AcceptingTargets.java
+++ b/src/main/java/org/martenwell/router/AcceptingTargets.java
@@ -6,70 +6,71 @@
 import java.util.Set;
 
 /**
- * Which targets take new work, from all signs together: the platform's list, what a target's keeper
- * tells, and the target's own refusals.
+ * Decides which targets accept requests, from the platform's box list, the notices of peers, the
+ * polls of coordinated targets and the refusals that this router received.
  */
 final class AcceptingTargets {
 
-    /** How long a target's own refusal counts, in milliseconds. */
+    /** Time for which no requests are sent to a target after it refused one. */
     private static final long REFUSAL_MILLIS = 2_000;
 
-    /** The targets that the platform lists as leaving. */
+    /** Targets that the platform lists as leaving. */
     private final Set<String> leaving = new HashSet<>();
 
-    /** The targets whose keepers told that they take no work. */
-    private final Set<String> told = new HashSet<>();
+    /** Targets that accept no requests according to the last notice or poll. */
+    private final Set<String> reportedUnavailable = new HashSet<>();
 
-    /** Until when refusals count, by target. */
+    /** Expiry times of refusals, by target. */
     private final Map<String, Long> refusedUntil = new HashMap<>();
 
-    /** Creates states in which all targets take work. */
+    /** Creates a state in which all targets accept requests. */
     AcceptingTargets() {}
 
     /**
-     * Takes in the platform's list.
+     * Replaces the targets listed as leaving.
      *
-     * @param names The targets listed as leaving.
+     * @param names The names of the targets.
      */
-    void listed(Set<String> names) {
+    void setLeaving(Set<String> names) {
         leaving.clear();
         leaving.addAll(names);
     }
 
     /**
-     * Takes in what a target's keeper told.
+     * Applies a notice of a peer or the result of a poll.
      *
-     * @param target The target.
-     * @param open {@code true} if it takes work.
+     * @param target The target's name.
+     * @param accepting {@code true} if the target accepts requests.
      */
-    void told(String target, boolean open) {
-        if (open) {
-            told.remove(target);
+    void applyNotice(String target, boolean accepting) {
+        if (accepting) {
+            reportedUnavailable.remove(target);
         } else {
-            told.add(target);
+            reportedUnavailable.add(target);
         }
     }
 
     /**
-     * Takes in a target's own refusal.
+     * Records that a target refused a request.
      *
-     * @param target The target.
-     * @param now The time.
+     * @param target The target's name.
+     * @param now The current time in milliseconds.
      */
-    void refused(String target, long now) {
+    void recordRefusal(String target, long now) {
         refusedUntil.put(target, now + REFUSAL_MILLIS);
     }
 
     /**
-     * Returns whether a target takes new work.
+     * Returns whether a target accepts requests.
      *
-     * @param target The target.
-     * @param now The time.
-     * @return {@code true} if no sign speaks against it.
+     * @param target The target's name.
+     * @param now The current time in milliseconds.
+     * @return {@code true} if it is not listed as leaving, not reported as unavailable and has not
+     *     refused a request recently.
      */
-    boolean open(String target, long now) {
+    boolean acceptsRequests(String target, long now) {
         return !leaving.contains(target)
-                && !told.contains(target)
+                && !reportedUnavailable.contains(target)
                 && now >= refusedUntil.getOrDefault(target, 0L);
     }
 }
--- a/src/main/java/org/martenwell/router/ApplyResult.java
+++ b/src/main/java/org/martenwell/router/ApplyResult.java
@@ -3,26 +3,27 @@
 import java.util.Map;
 
 /**
- * What became of a change of configuration.
+ * Result of a configuration change.
  *
- * @param version The version that holds the change.
- * @param state {@code accepted} if every router has it in force, else {@code pending}.
- * @param missing The versions in force at the routers that have not, by name; 0 for one that said
- *     nothing.
+ * @param version The version that contains the change.
+ * @param state {@link #ACCEPTED} or {@link #PENDING}.
+ * @param missing The last known active version of each router that has not activated the change, by
+ *     router name; 0 if the router has reported none.
  */
 public record ApplyResult(long version, String state, Map<String, Long> missing) {
 
-    /** The state when every router has the version in force. */
+    /** State of a change that every router has activated. */
     public static final String ACCEPTED = "accepted";
 
-    /** The state when some router has not told that it has the version in force. */
+    /** State of a change that at least one router has not reported as active. */
     public static final String PENDING = "pending";
 
     /**
-     * Creates a result.
+     * Creates a result; its state follows from {@code missing}.
      *
-     * @param version The version that holds the change.
-     * @param missing The versions in force at the routers that have not, by name.
+     * @param version The version that contains the change.
+     * @param missing The last known active version of each router that has not activated the
+     *     change, by router name.
      * @return The result.
      */
     static ApplyResult of(long version, Map<String, Long> missing) {
--- a/src/main/java/org/martenwell/router/ConfigurationApplier.java
+++ b/src/main/java/org/martenwell/router/ConfigurationApplier.java
@@ -22,49 +22,45 @@
 import org.martenwell.objects.StoredObject;
 
 /**
- * Changes the configuration: checks it whole, writes it by conditional update, settles a lost reply
- * by reading, and waits until every router has it in force.
+ * Validates a new configuration, writes it with a conditional update and waits until every router
+ * has activated it. If a write gets no reply, the stored object is read to find out whether the
+ * write took effect.
  */
 public final class ConfigurationApplier {
 
-    /** How long to wait for all routers, in milliseconds. */
-    private static final long IN_FORCE_MILLIS = 5_000;
+    /** Maximum time to wait for all routers to activate a version. */
+    private static final long ACTIVATION_TIMEOUT_MILLIS = 5_000;
 
-    /** How often to look, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    /** Interval between checks of the active versions. */
+    private static final long ACTIVATION_POLL_MILLIS = 50;
 
-    /** How often a lost reply is settled by reading before that is given up. */
+    /** Maximum number of reads that resolve a lost reply. */
     private static final int MAX_READS = 5;
 
-    /** How long to wait between reads, in milliseconds. */
-    private static final long READ_MILLIS = 300;
+    /** Delay before each of these reads. */
+    private static final long READ_DELAY_MILLIS = 300;
 
-    /** Starts the comment that marks who wrote a version. */
-    private static final String MARK = "// applied through ";
+    /** Start of the comment line that makes each write unique, so that a read can recognise it. */
+    private static final String MARKER_PREFIX = "// applied through ";
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** This router's name. */
     private final String router;
 
-    /** The platform. */
     private final Platform platform;
 
-    /** The configuration in force. */
     private final ConfigurationStore store;
 
-    /** Who is a member. */
     private final Membership membership;
 
     /**
      * Creates an applier.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param router This router's name.
-     * @param platform The platform.
-     * @param store The configuration in force.
-     * @param membership Who is a member.
+     * @param platform The object service that stores the configuration.
+     * @param store The store that activates the new version on this router.
+     * @param membership The members and the versions that they report as active.
      */
     public ConfigurationApplier(
             NioReactor reactor,
@@ -83,9 +79,10 @@
      * Applies a configuration.
      *
      * @param text The configuration, JSON with comments.
-     * @param base The version that it was based on, 0 to create the first.
-     * @return What became of it. It fails with {@link ErrorKind#INVALID_DOCUMENT} or {@link
-     *     ErrorKind#VERSION_CONFLICT} if nothing was written.
+     * @param base The version that the change is based on, or 0 to create the first version.
+     * @return The result. Fails with {@link ErrorKind#INVALID_DOCUMENT} or {@link
+     *     ErrorKind#VERSION_CONFLICT} if the change was not written; the latter has the outcome
+     *     {@link Outcome#UNKNOWN} if the write got no reply and another change was stored since.
      */
     public Promise<ApplyResult> apply(String text, long base) {
         try {
@@ -93,31 +90,20 @@
         } catch (MartenwellException invalid) {
             return Promise.ofException(invalid);
         }
-        String marked = MARK + router + " as " + UUID.randomUUID() + "\n" + unmarked(text);
+        String marked =
+                MARKER_PREFIX + router + " as " + UUID.randomUUID() + "\n" + withoutMarker(text);
         byte[] value = marked.getBytes(StandardCharsets.UTF_8);
         return write(value, base)
-                .then(Promise::of, exception -> settle(exception, value, base, MAX_READS))
+                .then(Promise::of, exception -> resolveLostReply(exception, value, base, MAX_READS))
                 .whenResult(stored -> store.offer(stored.version(), marked))
-                .then(stored -> awaitInForce(stored.version(), deadline()));
+                .then(stored -> awaitActivation(stored.version(), activationDeadline()));
     }
 
-    /**
-     * Removes the mark of an earlier write.
-     *
-     * @param text The configuration.
-     * @return The configuration without the mark.
-     */
-    private static String unmarked(String text) {
-        return text.startsWith(MARK) ? text.substring(text.indexOf('\n') + 1) : text;
+    /** Removes the comment line of an earlier write. */
+    private static String withoutMarker(String text) {
+        return text.startsWith(MARKER_PREFIX) ? text.substring(text.indexOf('\n') + 1) : text;
     }
 
-    /**
-     * Writes the object.
-     *
-     * @param value The value.
-     * @param base The version that it was based on, 0 to create it.
-     * @return The new version.
-     */
     private Promise<StoredObject> write(byte[] value, long base) {
         return base == 0
                 ? platform.create(ConfigurationStore.KIND, ConfigurationStore.NAME, value)
@@ -125,15 +111,10 @@
     }
 
     /**
-     * Finds out whether a write without a reply took effect.
-     *
-     * @param exception Why there was no reply.
-     * @param value The value written, with its mark.
-     * @param base The version that it was based on.
-     * @param readsLeft How often to read at most.
-     * @return The version if it took effect.
+     * Reads the stored object after a lost reply to find out whether the write took effect. Other
+     * failures are returned unchanged.
      */
-    private Promise<StoredObject> settle(
+    private Promise<StoredObject> resolveLostReply(
             Exception exception, byte[] value, long base, int readsLeft) {
         if (!isLostReply(exception)) {
             return Promise.ofException(exception);
@@ -141,19 +122,13 @@
         if (readsLeft == 0) {
             return Promise.ofException(exception);
         }
-        return Promises.delay(Duration.ofMillis(READ_MILLIS))
+        return Promises.delay(Duration.ofMillis(READ_DELAY_MILLIS))
                 .then(() -> platform.read(ConfigurationStore.KIND, ConfigurationStore.NAME))
                 .then(
-                        found -> settled(found, value, base),
-                        again -> settle(again, value, base, readsLeft - 1));
+                        found -> resolveFromStored(found, value, base),
+                        readFailure -> resolveLostReply(readFailure, value, base, readsLeft - 1));
     }
 
-    /**
-     * Returns whether a failure leaves open what happened.
-     *
-     * @param exception The failure.
-     * @return {@code true} if the write may have taken effect.
-     */
     private static boolean isLostReply(Exception exception) {
         return exception instanceof MartenwellException known
                 && known.kind() == ErrorKind.PLATFORM_UNAVAILABLE
@@ -161,14 +136,11 @@
     }
 
     /**
-     * Decides by what was read.
-     *
-     * @param found The object found.
-     * @param value The value written, with its mark.
-     * @param base The version that it was based on.
-     * @return The version if it took effect.
+     * Returns the stored version if it is the one written, and writes again if the object has not
+     * changed since {@code base}.
      */
-    private Promise<StoredObject> settled(Optional<StoredObject> found, byte[] value, long base) {
+    private Promise<StoredObject> resolveFromStored(
+            Optional<StoredObject> found, byte[] value, long base) {
         if (found.isPresent() && Arrays.equals(found.get().value(), value)) {
             return Promise.of(found.get());
         }
@@ -179,56 +151,42 @@
         return Promise.ofException(
                 MartenwellException.of(
                                 ErrorKind.VERSION_CONFLICT,
-                                "No reply came, and version "
+                                "The update got no reply, and version "
                                         + version
-                                        + " now holds another change.")
+                                        + " now contains another change.")
                         .withOutcome(Outcome.UNKNOWN));
     }
 
-    /**
-     * Returns until when to wait for all routers.
-     *
-     * @return The time.
-     */
-    private long deadline() {
-        return reactor.currentTimeMillis() + IN_FORCE_MILLIS;
+    private long activationDeadline() {
+        return reactor.currentTimeMillis() + ACTIVATION_TIMEOUT_MILLIS;
     }
 
-    /**
-     * Waits until every router has a version in force.
-     *
-     * @param version The version.
-     * @param deadline Until when to wait.
-     * @return What became of the change.
-     */
-    private Promise<ApplyResult> awaitInForce(long version, long deadline) {
-        Map<String, Long> missing = missing(version);
+    private Promise<ApplyResult> awaitActivation(long version, long deadline) {
+        Map<String, Long> missing = routersBehind(version);
         if (missing.isEmpty() || reactor.currentTimeMillis() >= deadline) {
             return Promise.of(ApplyResult.of(version, missing));
         }
-        return Promises.delay(Duration.ofMillis(LOOK_MILLIS))
-                .then(() -> awaitInForce(version, deadline));
+        return Promises.delay(Duration.ofMillis(ACTIVATION_POLL_MILLIS))
+                .then(() -> awaitActivation(version, deadline));
     }
 
     /**
-     * Lists the routers that have not told that they have a version in force.
-     *
-     * @param version The version.
-     * @return The versions that they last told, by name.
+     * Returns the last reported versions of the routers that have not reported {@code version} or a
+     * later one.
      */
-    private Map<String, Long> missing(long version) {
+    private Map<String, Long> routersBehind(long version) {
         Set<String> routers = new TreeSet<>(membership.listedNames());
         routers.addAll(membership.others().keySet());
         Map<String, Long> missing = new TreeMap<>();
         for (String name : routers) {
-            long told =
+            long reported =
                     membership
                             .find(name)
                             .map(Member::heartbeat)
                             .map(heartbeat -> heartbeat.configurationVersion())
                             .orElse(0L);
-            if (told < version) {
-                missing.put(name, told);
+            if (reported < version) {
+                missing.put(name, reported);
             }
         }
         return missing;
--- a/src/main/java/org/martenwell/router/ConfigurationListener.java
+++ b/src/main/java/org/martenwell/router/ConfigurationListener.java
@@ -2,14 +2,14 @@
 
 import org.martenwell.configuration.ActiveConfiguration;
 
-/** Is told when a configuration is in force. */
+/** Callback for changes of the active configuration. */
 @FunctionalInterface
 public interface ConfigurationListener {
 
     /**
-     * Called when a configuration is in force.
+     * Called after a configuration became active.
      *
-     * @param configuration The configuration.
+     * @param configuration The active configuration.
      */
-    void inForce(ActiveConfiguration configuration);
+    void activated(ActiveConfiguration configuration);
 }
--- a/src/main/java/org/martenwell/router/ConfigurationStore.java
+++ b/src/main/java/org/martenwell/router/ConfigurationStore.java
@@ -8,41 +8,39 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.observe.LogEvent;
 
-/** Holds the configuration in force. Its version never falls. */
+/** The active configuration of this router. Its version only increases. */
 public final class ConfigurationStore {
 
-    /** The kind of the platform's object that holds the configuration. */
+    /** Kind of the platform object that contains the configuration. */
     public static final String KIND = "configuration";
 
-    /** The name of the platform's object that holds the configuration. */
+    /** Name of the platform object that contains the configuration. */
     public static final String NAME = "fleet";
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(ConfigurationStore.class);
 
-    /** Is told when a configuration is in force. */
     private final ConfigurationListener listener;
 
-    /** The configuration in force. */
     private Optional<ActiveConfiguration> active = Optional.empty();
 
-    /** The configuration as it is stored. */
+    /** The active configuration as stored, or an empty string. */
     private String text = "";
 
     /**
-     * Creates an empty store.
+     * Creates a store without an active configuration.
      *
-     * @param listener Is told when a configuration is in force.
+     * @param listener The listener for changes of the active configuration.
      */
     public ConfigurationStore(ConfigurationListener listener) {
         this.listener = listener;
     }
 
     /**
-     * Takes in a configuration from the platform or a peer. Only a higher version is put in force.
+     * Activates a configuration received from the platform or a peer, if its version is higher than
+     * the active one. An invalid configuration is logged and ignored.
      *
-     * @param version The version.
-     * @param stored The configuration as it is stored.
+     * @param version The version of the configuration.
+     * @param stored The configuration as stored.
      */
     public void offer(long version, String stored) {
         if (version <= version()) {
@@ -56,7 +54,7 @@
             active = Optional.of(next);
             text = stored;
             LOGGER.info(LogEvent.of("configuration").with("version", version).message());
-            listener.inForce(next);
+            listener.activated(next);
         } catch (MartenwellException invalid) {
             LOGGER.error(
                     LogEvent.of("configuration-invalid")
@@ -66,29 +64,17 @@
         }
     }
 
-    /**
-     * Returns the version in force.
-     *
-     * @return The version or 0 if there is none.
-     */
+    /** {@return the active version, or 0 if there is none} */
     public long version() {
         return active.map(ActiveConfiguration::version).orElse(0L);
     }
 
-    /**
-     * Returns the configuration in force.
-     *
-     * @return The configuration.
-     */
+    /** {@return the active configuration, or empty if there is none} */
     public Optional<ActiveConfiguration> active() {
         return active;
     }
 
-    /**
-     * Returns the configuration as it is stored.
-     *
-     * @return The text or an empty string.
-     */
+    /** {@return the active configuration as stored, or an empty string if there is none} */
     public String text() {
         return text;
     }
--- a/src/main/java/org/martenwell/router/ContractTerms.java
+++ b/src/main/java/org/martenwell/router/ContractTerms.java
@@ -3,16 +3,15 @@
 import org.martenwell.configuration.ActiveConfiguration;
 import org.martenwell.schedule.OrganisationTerms;
 
-/** Reads the terms that scheduling needs from the configuration in force. */
+/** Scheduling terms of organisations, taken from the contracts of the active configuration. */
 final class ContractTerms implements OrganisationTerms {
 
-    /** The configuration in force. */
     private final ActiveConfiguration configuration;
 
     /**
-     * Creates terms.
+     * Creates the terms of a configuration.
      *
-     * @param configuration The configuration in force.
+     * @param configuration The configuration that contains the contracts.
      */
     ContractTerms(ActiveConfiguration configuration) {
         this.configuration = configuration;
--- a/src/main/java/org/martenwell/router/DrainReport.java
+++ b/src/main/java/org/martenwell/router/DrainReport.java
@@ -1,18 +1,14 @@
 package org.martenwell.router;
 
 /**
- * What was still there when draining ended.
+ * Requests that remained when draining ended.
  *
- * @param running The requests that ran and are cut off.
- * @param waiting The requests that waited and did not run.
+ * @param running The number of running requests, which are aborted.
+ * @param waiting The number of requests still waiting for a slot, which are not run.
  */
 public record DrainReport(int running, int waiting) {
 
-    /**
-     * Returns whether nothing was cut off.
-     *
-     * @return {@code true} if nothing was left.
-     */
+    /** {@return {@code true} if no request remained} */
     public boolean clean() {
         return running == 0 && waiting == 0;
     }
--- a/src/main/java/org/martenwell/router/ErrorBody.java
+++ b/src/main/java/org/martenwell/router/ErrorBody.java
@@ -5,18 +5,19 @@
 import org.martenwell.json.Json;
 
 /**
- * The body of an error answer, in the shape of OpenAI's errors with three fields more.
+ * Body of an error response in the format of the OpenAI API, extended by the fields {@code
+ * outcome}, {@code retry} and {@code request_id}.
  *
  * @param error The error.
  */
 public record ErrorBody(ErrorDetail error) {
 
     /**
-     * Writes the body of an error.
+     * Serializes the body of an error response.
      *
      * @param failure The error.
      * @param requestId The request's id.
-     * @return The body in UTF-8.
+     * @return The body as JSON in UTF-8.
      */
     public static byte[] of(MartenwellException failure, String requestId) {
         return Json.write(
--- a/src/main/java/org/martenwell/router/ErrorDetail.java
+++ b/src/main/java/org/martenwell/router/ErrorDetail.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * What went wrong with a request.
+ * Error object within an {@link ErrorBody}.
  *
- * @param message What went wrong, in a sentence.
- * @param type The class of error as OpenAI clients know it.
- * @param param Unused.
- * @param code The error kind's code.
- * @param outcome What is known of the request.
- * @param retry Whether the request may be sent again.
+ * @param message A sentence that describes the error.
+ * @param type The error type of the OpenAI API.
+ * @param param Always empty; part of the format of the OpenAI API.
+ * @param code The code of the error kind.
+ * @param outcome The word of the request's {@link org.martenwell.error.Outcome}.
+ * @param retry The word that tells the caller whether it may send the request again.
  * @param requestId The request's id.
  */
 public record ErrorDetail(
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -26,47 +26,46 @@
 import org.martenwell.schedule.SlotReport;
 import org.martenwell.schedule.WaitingRequest;
 
-/** Runs the scheduling decisions of one router in its loop: as router and as keeper. */
+/**
+ * Runs the scheduling of one router on its event loop: the queue of its own requests and, as
+ * coordinator, the slots of some targets. Not thread-safe.
+ */
 public final class FleetScheduler {
 
-    /** How many rounds this router's own reports and grants are exchanged at once. */
-    private static final int MAX_ROUNDS = 16;
+    /**
+     * Maximum number of report and grant exchanges within this router before the event loop goes
+     * on.
+     */
+    private static final int MAX_LOCAL_ROUNDS = 16;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** This router's name. */
     private final String name;
 
-    /** Sends messages to peers. */
     private final MessageSender sender;
 
-    /** The service of all organisations. */
+    /** Service received by each organisation over the fleet. */
     private final ServiceCounters counters;
 
-    /** Hands out the slots of the targets kept here. */
     private final SlotCoordinator coordinator;
 
-    /** The waiting requests and slots of this router. */
     private final RouterSlots slots;
 
-    /** The callers that wait for a slot, by the request's number. */
+    /** Promises of requests that wait for a slot, by request number. */
     private final Map<Long, SettablePromise<Assignment>> pending = new HashMap<>();
 
-    /** The terms of contracts. */
     private ContractTerms terms;
 
-    /** {@code true} while an exchange is due in the loop. */
-    private boolean exchangeDue;
+    private boolean exchangeScheduled;
 
     /**
      * Creates a scheduler without targets.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param name This router's name.
      * @param incarnation This router's incarnation.
-     * @param parameters The numbers that tune scheduling.
-     * @param sender Sends messages to peers.
+     * @param parameters The scheduling parameters.
+     * @param sender The sender of messages to peers.
      */
     public FleetScheduler(
             NioReactor reactor,
@@ -84,9 +83,9 @@
     }
 
     /**
-     * Changes the terms of contracts.
+     * Applies the contracts of a configuration. Must be called before the first request.
      *
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      */
     public void configure(ActiveConfiguration configuration) {
         terms = new ContractTerms(configuration);
@@ -94,109 +93,109 @@
     }
 
     /**
-     * Changes the targets, their keepers and the members.
+     * Replaces the targets, their coordinators and the members.
      *
      * @param targets All targets.
-     * @param coordinators The keeper of each target, by target.
-     * @param members The names of all members, this router included.
+     * @param coordinators The coordinator of each target, by target name.
+     * @param members The names of all members, including this router.
      */
     public void assign(
             List<Target> targets,
             Map<String, CoordinatorReference> coordinators,
             Set<String> members) {
-        List<Target> kept =
+        List<Target> coordinated =
                 targets.stream()
                         .filter(target -> coordinators.containsKey(target.name()))
                         .filter(target -> coordinators.get(target.name()).name().equals(name))
                         .toList();
-        coordinator.assign(kept, members, reactor.currentTimeMillis());
+        coordinator.assign(coordinated, members, reactor.currentTimeMillis());
         slots.assign(targets, coordinators);
-        exchangeSoon();
+        scheduleExchange();
     }
 
     /**
-     * Says whether a target takes new work.
+     * Sets whether a target accepts new requests.
      *
      * @param target The target's name.
-     * @param takesWork {@code false} if it is leaving or away.
+     * @param acceptsRequests {@code false} if the target is draining or unavailable.
      */
-    public void setAcceptsRequests(String target, boolean takesWork) {
-        coordinator.setAcceptsRequests(target, takesWork);
-        slots.setAcceptsRequests(target, takesWork);
-        exchangeSoon();
+    public void setAcceptsRequests(String target, boolean acceptsRequests) {
+        coordinator.setAcceptsRequests(target, acceptsRequests);
+        slots.setAcceptsRequests(target, acceptsRequests);
+        scheduleExchange();
     }
 
     /**
-     * Takes a lent slot, if nobody waits for the same pool and one is idle.
+     * Takes an idle lent slot, if no request waits for the same pool.
      *
      * @param request The request.
-     * @return The assignment or a promise that is not complete if it has to wait.
+     * @return The assignment, or empty if the request has to wait.
      */
     public Optional<Assignment> takeLent(WaitingRequest request) {
         Optional<Assignment> assignment = slots.takeLent(request);
-        assignment.ifPresent(any -> exchangeSoon());
+        assignment.ifPresent(any -> scheduleExchange());
         return assignment;
     }
 
     /**
-     * Waits for a slot.
+     * Queues a request until a slot is free.
      *
      * @param request The request.
-     * @param limitMillis How long to wait at most, in milliseconds.
-     * @return The assignment.
+     * @param limitMillis The maximum time to wait, in milliseconds.
+     * @return The assignment. Fails with {@link ErrorKind#WAIT_TOO_LONG} after {@code limitMillis}.
      */
-    public Promise<Assignment> await(WaitingRequest request, long limitMillis) {
+    public Promise<Assignment> awaitSlot(WaitingRequest request, long limitMillis) {
         SettablePromise<Assignment> promise = new SettablePromise<>();
         pending.put(request.number(), promise);
         slots.enqueue(request);
-        reactor.delayBackground(limitMillis, () -> giveUp(request, limitMillis));
-        exchangeSoon();
+        reactor.delayBackground(limitMillis, () -> expire(request, limitMillis));
+        scheduleExchange();
         return promise;
     }
 
     /**
-     * Ends the use of a slot and gives it back.
+     * Releases a slot.
      *
      * @param slot The slot.
      * @param failed {@code true} if the target failed.
      */
-    public void finish(Slot slot, boolean failed) {
+    public void release(Slot slot, boolean failed) {
         slots.finish(slot, failed);
-        exchangeSoon();
+        scheduleExchange();
     }
 
     /**
-     * Counts service that a target delivered through this router.
+     * Adds service that a target delivered through this router.
      *
-     * @param organisation The organisation served.
-     * @param units The service in units, not weighted.
+     * @param organisation The organisation that received the service.
+     * @param units The service in units, not divided by the organisation's weight.
      */
-    public void served(String organisation, double units) {
+    public void recordService(String organisation, double units) {
         counters.add(organisation, units / terms.weight(organisation));
     }
 
     /**
-     * Takes in a router's report to this keeper.
+     * Processes a router's report to this coordinator.
      *
      * @param report The report.
      */
     public void received(SlotReport report) {
         coordinator.receive(report, reactor.currentTimeMillis());
-        exchangeSoon();
+        scheduleExchange();
     }
 
     /**
-     * Takes in a keeper's grants to this router.
+     * Processes a coordinator's grants to this router.
      *
      * @param grants The grants.
      */
     public void received(SlotGrants grants) {
-        settle(slots.receive(grants));
-        exchangeSoon();
+        completePending(slots.receive(grants));
+        scheduleExchange();
     }
 
     /**
-     * Takes in a peer's counters.
+     * Merges a peer's service counters.
      *
      * @param report The counters.
      */
@@ -205,16 +204,16 @@
     }
 
     /**
-     * Forgets what peers that are no longer members hold.
+     * Drops the counters of peers that are no longer members.
      *
-     * @param removed The peers' names.
+     * @param peers The names of the peers.
      */
-    public void removed(Collection<String> removed) {
-        removed.forEach(counters::removeMember);
+    public void removed(Collection<String> peers) {
+        peers.forEach(counters::removeMember);
     }
 
     /**
-     * Repeats everything to a peer, because a connection to it opened.
+     * Sends the complete state to a peer after a connection to it was opened.
      *
      * @param peer The peer's name.
      */
@@ -224,62 +223,52 @@
         for (ServiceReport report : counters.peerReports()) {
             sender.send(peer, report);
         }
-        exchangeSoon();
+        scheduleExchange();
     }
 
-    /** Tells all peers the counters that changed. To be called now and then. */
+    /** Sends changed counters to all peers. Called periodically. */
     public void exchangeCounters() {
-        tellPeers(counters.takeChanges());
+        broadcastCounters(counters.takeChanges());
     }
 
-    /** Repeats grants that were lost and refreshes what keepers know. To be called now and then. */
+    /**
+     * Repeats unacknowledged grants and refreshes the reports to coordinators. Called periodically.
+     */
     public void maintain() {
         coordinator.maintain(reactor.currentTimeMillis());
-        exchangeSoon();
+        scheduleExchange();
     }
 
-    /**
-     * Returns the service of all organisations.
-     *
-     * @return The counters.
-     */
+    /** {@return the service received by each organisation} */
     public ServiceCounters counters() {
         return counters;
     }
 
-    /**
-     * Returns the waiting requests and slots of this router.
-     *
-     * @return The slots.
-     */
+    /** {@return the waiting requests and the slots of this router} */
     public RouterSlots slots() {
         return slots;
     }
 
-    /**
-     * Returns the keeper of this router.
-     *
-     * @return The keeper.
-     */
+    /** {@return the coordinator of the targets that this router coordinates} */
     public SlotCoordinator coordinator() {
         return coordinator;
     }
 
-    /** Lets the loop exchange reports and grants once it has done what is due. */
-    private void exchangeSoon() {
-        if (!exchangeDue) {
-            exchangeDue = true;
+    /** Schedules one exchange after the events that the loop processes now. */
+    private void scheduleExchange() {
+        if (!exchangeScheduled) {
+            exchangeScheduled = true;
             reactor.postLast(this::exchange);
         }
     }
 
-    /** Exchanges reports and grants, within this router at once and with peers by messages. */
+    /** Exchanges reports and grants: directly within this router, by messages with peers. */
     private void exchange() {
-        exchangeDue = false;
+        exchangeScheduled = false;
         long now = reactor.currentTimeMillis();
-        boolean again = true;
-        for (int round = 0; again && round < MAX_ROUNDS; round++) {
-            again = false;
+        boolean repeat = true;
+        for (int round = 0; repeat && round < MAX_LOCAL_ROUNDS; round++) {
+            repeat = false;
             for (Map.Entry<CoordinatorReference, SlotReport> entry :
                     slots.takeReports(now).entrySet()) {
                 if (entry.getKey().name().equals(name)) {
@@ -290,48 +279,33 @@
             }
             for (Map.Entry<String, SlotGrants> entry : coordinator.allocate(now).entrySet()) {
                 if (entry.getKey().equals(name)) {
-                    settle(slots.receive(entry.getValue()));
-                    again = true;
+                    completePending(slots.receive(entry.getValue()));
+                    repeat = true;
                 } else {
                     sender.send(entry.getKey(), entry.getValue());
                 }
             }
         }
-        tellPeers(counters.takeGrantChanges());
+        broadcastCounters(counters.takeGrantChanges());
     }
 
-    /**
-     * Tells all peers of changed counters.
-     *
-     * @param report The counters.
-     */
-    private void tellPeers(ServiceReport report) {
+    private void broadcastCounters(ServiceReport report) {
         if (!report.entries().isEmpty()) {
             sender.broadcast(report);
         }
     }
 
-    /**
-     * Hands slots to the requests that waited for them.
-     *
-     * @param assignments The requests and their slots.
-     */
-    private void settle(List<Assignment> assignments) {
+    private void completePending(List<Assignment> assignments) {
         for (Assignment assignment : assignments) {
             SettablePromise<Assignment> promise = pending.remove(assignment.request().number());
             reactor.post(() -> promise.set(assignment));
         }
     }
 
-    /**
-     * Gives up a request that waited too long.
-     *
-     * @param request The request.
-     * @param limitMillis How long it waited, in milliseconds.
-     */
-    private void giveUp(WaitingRequest request, long limitMillis) {
+    /** Fails a request that still waits after its limit. */
+    private void expire(WaitingRequest request, long limitMillis) {
         if (slots.withdraw(request)) {
-            exchangeSoon();
+            scheduleExchange();
             pending.remove(request.number())
                     .setException(
                             MartenwellException.of(
--- a/src/main/java/org/martenwell/router/GrantLog.java
+++ b/src/main/java/org/martenwell/router/GrantLog.java
@@ -6,13 +6,12 @@
 import org.martenwell.schedule.GrantDecision;
 import org.martenwell.schedule.GrantListener;
 
-/** Logs a line for each slot that a keeper grants, at the level {@code DEBUG}. */
+/** Logs each granted slot at level {@code DEBUG}. */
 enum GrantLog implements GrantListener {
 
     /** The only instance. */
     INSTANCE;
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(GrantLog.class);
 
     @Override
--- a/src/main/java/org/martenwell/router/MessageSender.java
+++ b/src/main/java/org/martenwell/router/MessageSender.java
@@ -2,11 +2,11 @@
 
 import org.martenwell.message.PeerMessage;
 
-/** Sends messages to peers, without a promise that they arrive. */
+/** Sends messages to peers. Delivery is not guaranteed. */
 public interface MessageSender {
 
     /**
-     * Sends a message to a peer.
+     * Sends a message to one peer.
      *
      * @param peer The peer's name.
      * @param message The message.
--- a/src/main/java/org/martenwell/router/OnceGuard.java
+++ b/src/main/java/org/martenwell/router/OnceGuard.java
@@ -19,29 +19,29 @@
 import org.martenwell.once.IdempotencyKey;
 import org.martenwell.once.StoredResponse;
 
-/** Lets a request with an idempotency key run at most once over the fleet. */
+/**
+ * Runs each request with an idempotency key at most once over the fleet. A repeated request gets
+ * the stored response of the first.
+ */
 public final class OnceGuard {
 
-    /** Tells a caller that an answer is a kept one. */
-    private static final String REPEATED = "X-Repeated";
+    /** Response header that marks a stored response. */
+    private static final String REPEATED_HEADER = "X-Repeated";
 
-    /** When a caller should ask again about a request in flight, in milliseconds. */
-    private static final long IN_FLIGHT_MILLIS = 1_000;
+    /** Delay after which a caller may repeat a request whose claim is undecided. */
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(OnceGuard.class);
 
-    /** The claims. */
     private final ClaimLedger ledger;
 
-    /** Brings requests to targets. */
     private final RequestDispatcher dispatcher;
 
     /**
      * Creates a guard.
      *
-     * @param ledger The claims.
-     * @param dispatcher Brings requests to targets.
+     * @param ledger The claims of idempotency keys.
+     * @param dispatcher The dispatcher that runs claimed requests.
      */
     public OnceGuard(ClaimLedger ledger, RequestDispatcher dispatcher) {
         this.ledger = ledger;
@@ -49,35 +49,33 @@
     }
 
     /**
-     * Runs a request if no other with its key did, or answers with what is known.
+     * Runs a request unless its key is already claimed; else responds according to the existing
+     * claim.
      *
-     * @param request The request, which must not be repeated.
-     * @param key Its key.
-     * @return The answer.
+     * @param request The request. It must not be marked as repeatable.
+     * @param key The idempotency key.
+     * @return The response. Fails with {@link ErrorKind#CLAIM_IN_FLIGHT}, {@link
+     *     ErrorKind#ALREADY_RAN} or {@link ErrorKind#CLAIM_UNAVAILABLE}, or as the dispatcher does.
      */
     public Promise<RoutedAnswer> dispatch(RoutedRequest request, IdempotencyKey key) {
         String scope = request.organisation().name() + "/" + request.pool().name();
         String id = request.message().id();
         return ledger.claim(scope, key, id)
                 .then(
-                        other -> other.isPresent() ? known(other.get()) : run(request, scope, key),
-                        exception -> unclaimed(scope, key, id, exception));
+                        existing ->
+                                existing.isPresent()
+                                        ? respondFromClaim(existing.get())
+                                        : runClaimed(request, scope, key),
+                        exception -> rejectUnclaimed(scope, key, id, exception));
     }
 
-    /**
-     * Runs a request that has the claim.
-     *
-     * @param request The request.
-     * @param scope The organisation and service.
-     * @param key The key.
-     * @return The answer.
-     */
-    private Promise<RoutedAnswer> run(RoutedRequest request, String scope, IdempotencyKey key) {
+    private Promise<RoutedAnswer> runClaimed(
+            RoutedRequest request, String scope, IdempotencyKey key) {
         String id = request.message().id();
         return dispatcher
                 .dispatch(request)
                 .then(
-                        answer -> record(answer, scope, key, id),
+                        response -> recordResponse(response, scope, key, id),
                         exception -> {
                             if (exception instanceof MartenwellException known
                                     && known.outcome() == Outcome.NOT_RUN) {
@@ -88,33 +86,29 @@
     }
 
     /**
-     * Records that a request ran and passes its answer on. Recording does not hold the answer back.
-     *
-     * @param answer The answer, which has arrived whole.
-     * @param scope The organisation and service.
-     * @param key The key.
-     * @param id The request's id.
-     * @return The answer.
+     * Stores a complete response in the ledger. The response is passed on without waiting for the
+     * write.
      */
-    private Promise<RoutedAnswer> record(
-            RoutedAnswer answer, String scope, IdempotencyKey key, String id) {
-        return answer.body()
+    private Promise<RoutedAnswer> recordResponse(
+            RoutedAnswer response, String scope, IdempotencyKey key, String id) {
+        return response.body()
                 .get()
                 .map(
                         buffer -> {
                             byte[] body = buffer == null ? new byte[0] : buffer.asArray();
                             String type =
-                                    HeaderFields.find(answer.headers(), "Content-Type").orElse("");
+                                    HeaderFields.find(response.headers(), "Content-Type")
+                                            .orElse("");
                             String encoded = Base64.getEncoder().encodeToString(body);
-                            ledger.ran(
+                            ledger.recordResponse(
                                             scope,
                                             key,
                                             id,
-                                            new StoredResponse(answer.status(), type, encoded))
-                                    .whenException(exception -> logLost(id));
+                                            new StoredResponse(response.status(), type, encoded))
+                                    .whenException(exception -> logUnrecorded(id));
                             return new RoutedAnswer(
-                                    answer.status(),
-                                    answer.headers(),
+                                    response.status(),
+                                    response.headers(),
                                     ChannelSuppliers.ofValue(ByteBuf.wrapForReading(body)),
                                     true,
                                     Outcome.RAN);
@@ -122,75 +116,56 @@
     }
 
     /**
-     * Logs that a ledger does not know of a request that ran; its repeats are told {@code unknown}.
-     *
-     * @param id The request's id.
+     * Logs that the response of a request that ran may be missing in the ledger; a repeated request
+     * then fails with {@link ErrorKind#CLAIM_IN_FLIGHT}.
      */
-    private static void logLost(String id) {
+    private static void logUnrecorded(String id) {
         LOGGER.warn(LogEvent.of("ledger-answer-lost").with("request", id).message());
     }
 
-    /**
-     * Answers with what is known of an earlier request with the same key.
-     *
-     * @param claim The earlier request's claim.
-     * @return The kept answer or the error that tells.
-     */
-    private static Promise<RoutedAnswer> known(Claim claim) {
-        Optional<StoredResponse> kept = claim.answer();
-        if (kept.isPresent()) {
-            return Promise.of(keptAnswer(kept.get()));
+    private static Promise<RoutedAnswer> respondFromClaim(Claim claim) {
+        Optional<StoredResponse> stored = claim.answer();
+        if (stored.isPresent()) {
+            return Promise.of(toResponse(stored.get()));
         }
         return Promise.ofException(
                 switch (claim.state()) {
                     case RAN ->
                             MartenwellException.of(
                                     ErrorKind.ALREADY_RAN,
-                                    "The request ran; its answer was too large to keep.");
+                                    "The request ran, but its response was too large to store.");
                     case CLAIMED ->
                             MartenwellException.of(
                                             ErrorKind.CLAIM_IN_FLIGHT,
-                                            "An earlier request with this key runs or was cut off.")
-                                    .withRetryAfter(IN_FLIGHT_MILLIS);
+                                            "An earlier request with this key runs or was aborted.")
+                                    .withRetryAfter(RETRY_AFTER_MILLIS);
                 });
     }
 
-    /**
-     * Builds the answer of a repeat.
-     *
-     * @param kept The kept answer.
-     * @return The answer.
-     */
-    private static RoutedAnswer keptAnswer(StoredResponse kept) {
-        byte[] body = Base64.getDecoder().decode(kept.body());
+    private static RoutedAnswer toResponse(StoredResponse stored) {
+        byte[] body = Base64.getDecoder().decode(stored.body());
         return new RoutedAnswer(
-                kept.status(),
+                stored.status(),
                 List.of(
-                        new HeaderField("Content-Type", kept.contentType()),
-                        new HeaderField(REPEATED, "true")),
+                        new HeaderField("Content-Type", stored.contentType()),
+                        new HeaderField(REPEATED_HEADER, "true")),
                 ChannelSuppliers.ofValue(ByteBuf.wrapForReading(body)),
                 true,
                 Outcome.RAN);
     }
 
     /**
-     * Refuses a request whose claim could not be written. It certainly does not run; its claim,
-     * which may have taken effect, is given up once the platform answers again.
-     *
-     * @param scope The organisation and service.
-     * @param key The key.
-     * @param id The request's id.
-     * @param exception Why there is no claim.
-     * @return The refusal.
+     * Rejects a request whose claim could not be stored. As the write may have taken effect, the
+     * claim is also released.
      */
-    private Promise<RoutedAnswer> unclaimed(
+    private Promise<RoutedAnswer> rejectUnclaimed(
             String scope, IdempotencyKey key, String id, Exception exception) {
         ledger.release(scope, key, id);
         return Promise.ofException(
                 MartenwellException.of(
                                 ErrorKind.CLAIM_UNAVAILABLE,
-                                "The platform did not take the claim.",
+                                "The claim of the Idempotency-Key could not be stored.",
                                 exception)
-                        .withRetryAfter(IN_FLIGHT_MILLIS));
+                        .withRetryAfter(RETRY_AFTER_MILLIS));
     }
 }
--- a/src/main/java/org/martenwell/router/PlatformFollower.java
+++ b/src/main/java/org/martenwell/router/PlatformFollower.java
@@ -13,78 +13,68 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Follows the platform: its box list on every router, its configuration by a watch on a few. Failed
- * calls are repeated after growing, jittered delays, so that its return starts no stampede.
+ * Polls the platform's box list on every router and watches the configuration on the routers that
+ * are selected for it. Failed calls are repeated with jittered exponential backoff, so that the
+ * routers do not all call at once when the platform recovers.
  */
 public final class PlatformFollower implements ManagedService {
 
-    /** How often the box list is read, in milliseconds. */
-    private static final long BOXES_MILLIS = 2_000;
+    /** Interval between reads of the box list. */
+    private static final long BOX_LIST_POLL_MILLIS = 2_000;
 
-    /** How long one watch waits, in milliseconds. */
-    private static final long WATCH_MILLIS = 10_000;
+    /** Maximum time of one long poll for changes. */
+    private static final long WATCH_TIMEOUT_MILLIS = 10_000;
 
-    /** How often a router that does not watch looks whether it should, in milliseconds. */
-    private static final long IDLE_MILLIS = 1_000;
+    /** Interval at which a router that does not watch checks whether it should. */
+    private static final long WATCH_CHECK_MILLIS = 1_000;
 
-    /** The longest delay after a failure, in milliseconds. */
-    private static final long LONGEST_DELAY_MILLIS = 10_000;
+    private static final long MAX_DELAY_MILLIS = 10_000;
 
-    /** The first delay after a failure, in milliseconds. */
-    private static final long FIRST_DELAY_MILLIS = 200;
+    private static final long INITIAL_DELAY_MILLIS = 200;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The platform. */
     private final Platform platform;
 
-    /** The configuration in force. */
     private final ConfigurationStore store;
 
-    /** Tells whether this router watches. */
-    private final BooleanSupplier watching;
+    private final BooleanSupplier shouldWatch;
 
-    /** Is told of the box list. */
-    private final Consumer<List<Box>> boxes;
+    private final Consumer<List<Box>> boxListener;
 
-    /** Spreads calls. */
     private final Random random;
 
-    /** When the platform last answered, or a very early time. */
+    /** Time of the last successful call, or a time long before the start. */
     private long answeredAt = Long.MIN_VALUE / 2;
 
-    /** The delay after the next failure to watch. */
-    private long watchDelayMillis = FIRST_DELAY_MILLIS;
+    private long watchDelayMillis = INITIAL_DELAY_MILLIS;
 
-    /** The delay after the next failure to read the box list. */
-    private long boxesDelayMillis = FIRST_DELAY_MILLIS;
+    private long boxesDelayMillis = INITIAL_DELAY_MILLIS;
 
-    /** {@code true} once stopped. */
     private boolean stopped;
 
     /**
-     * Creates a follower that does nothing yet.
+     * Creates a follower; {@link #start()} begins to call the platform.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param platform The platform.
-     * @param store The configuration in force.
-     * @param watching Tells whether this router watches.
-     * @param boxes Is told of the box list.
-     * @param random Spreads calls.
+     * @param store The store to which configurations are offered.
+     * @param shouldWatch Returns {@code true} while this router has to watch the configuration.
+     * @param boxListener The listener for each box list read.
+     * @param random The source of jitter.
      */
     public PlatformFollower(
             NioReactor reactor,
             Platform platform,
             ConfigurationStore store,
-            BooleanSupplier watching,
-            Consumer<List<Box>> boxes,
+            BooleanSupplier shouldWatch,
+            Consumer<List<Box>> boxListener,
             Random random) {
         this.reactor = reactor;
         this.platform = platform;
         this.store = store;
-        this.watching = watching;
-        this.boxes = boxes;
+        this.shouldWatch = shouldWatch;
+        this.boxListener = boxListener;
         this.random = random;
     }
 
@@ -102,101 +92,81 @@
     }
 
     /**
-     * Returns when the platform last answered.
-     *
-     * @return The time.
+     * {@return the time of the last successful call in milliseconds since 1970, or a time long
+     * before the start if there was none}
      */
     public long answeredAt() {
         return answeredAt;
     }
 
-    /** Reads the configuration once, whether this router watches or not. */
+    /** Reads the configuration until a read succeeds, then starts to watch it. */
     private void readConfiguration() {
         platform.read(ConfigurationStore.KIND, ConfigurationStore.NAME)
                 .whenResult(
                         object -> {
-                            answered();
+                            recordContact();
                             object.ifPresent(this::offer);
-                            later(0, this::watch);
+                            schedule(0, this::watch);
                         })
                 .whenException(
                         exception -> {
-                            watchDelayMillis = grown(watchDelayMillis);
-                            later(watchDelayMillis, this::readConfiguration);
+                            watchDelayMillis = nextDelay(watchDelayMillis);
+                            schedule(watchDelayMillis, this::readConfiguration);
                         });
     }
 
-    /** Waits for the next configuration, if this router watches. */
     private void watch() {
-        if (!watching.getAsBoolean()) {
-            later(IDLE_MILLIS, this::watch);
+        if (!shouldWatch.getAsBoolean()) {
+            schedule(WATCH_CHECK_MILLIS, this::watch);
             return;
         }
-        platform.watch(ConfigurationStore.KIND, store.version(), WATCH_MILLIS)
+        platform.watch(ConfigurationStore.KIND, store.version(), WATCH_TIMEOUT_MILLIS)
                 .whenResult(
                         objects -> {
-                            answered();
-                            watchDelayMillis = FIRST_DELAY_MILLIS;
+                            recordContact();
+                            watchDelayMillis = INITIAL_DELAY_MILLIS;
                             objects.stream()
                                     .filter(each -> each.name().equals(ConfigurationStore.NAME))
                                     .forEach(this::offer);
-                            later(0, this::watch);
+                            schedule(0, this::watch);
                         })
                 .whenException(
                         exception -> {
-                            watchDelayMillis = grown(watchDelayMillis);
-                            later(watchDelayMillis, this::watch);
+                            watchDelayMillis = nextDelay(watchDelayMillis);
+                            schedule(watchDelayMillis, this::watch);
                         });
     }
 
-    /** Reads the box list, again and again. */
     private void readBoxes() {
         platform.boxes()
                 .whenResult(
                         list -> {
-                            answered();
-                            boxesDelayMillis = FIRST_DELAY_MILLIS;
-                            boxes.accept(list);
-                            later(BOXES_MILLIS, this::readBoxes);
+                            recordContact();
+                            boxesDelayMillis = INITIAL_DELAY_MILLIS;
+                            boxListener.accept(list);
+                            schedule(BOX_LIST_POLL_MILLIS, this::readBoxes);
                         })
                 .whenException(
                         exception -> {
-                            boxesDelayMillis = grown(boxesDelayMillis);
-                            later(boxesDelayMillis, this::readBoxes);
+                            boxesDelayMillis = nextDelay(boxesDelayMillis);
+                            schedule(boxesDelayMillis, this::readBoxes);
                         });
     }
 
-    /** Notes that the platform answered. */
-    private void answered() {
+    private void recordContact() {
         answeredAt = reactor.currentTimeMillis();
     }
 
-    /**
-     * Offers a stored configuration to be put in force.
-     *
-     * @param object The platform's object.
-     */
     private void offer(StoredObject object) {
         store.offer(object.version(), new String(object.value(), StandardCharsets.UTF_8));
     }
 
-    /**
-     * Lets a delay grow.
-     *
-     * @param millis The delay in milliseconds.
-     * @return The longer delay.
-     */
-    private static long grown(long millis) {
-        return Math.min(LONGEST_DELAY_MILLIS, millis * 2);
+    private static long nextDelay(long millis) {
+        return Math.min(MAX_DELAY_MILLIS, millis * 2);
     }
 
-    /**
-     * Does something after a jittered delay, unless stopped.
-     *
-     * @param millis The delay in milliseconds.
-     * @param action The action.
-     */
-    private void later(long millis, Runnable action) {
+    /** Runs an action after a delay of 50 to 150 % of {@code millis}, unless stopped. */
+    private void schedule(long millis, Runnable action) {
         if (!stopped) {
             long jittered = millis == 0 ? 0 : millis / 2 + random.nextLong(millis);
             reactor.delayBackground(jittered, action);
--- a/src/main/java/org/martenwell/router/Readiness.java
+++ b/src/main/java/org/martenwell/router/Readiness.java
@@ -4,77 +4,77 @@
 import org.martenwell.error.MartenwellException;
 
 /**
- * Decides whether a router takes requests: it has a configuration, it is not stopping, and it is
- * not cut off from both the platform and most of its peers, as its configuration might then be old.
+ * Decides whether a router accepts requests. It accepts none without a configuration, once it is
+ * closed, or while it has contact neither with the platform nor with at least half of its peers, as
+ * its configuration may then be outdated.
  */
 public final class Readiness {
 
-    /** After how long cut off a router takes no more requests, in milliseconds. */
+    /** Time without contact after which a router counts as isolated, in milliseconds. */
     static final long ISOLATION_MILLIS = 10_000;
 
-    /** When the router started; it is not cut off before it had time to hear of others. */
+    /** Start time; a router is not isolated before it had time to make contact. */
     private final long startedAt;
 
-    /** When the router last had contact with the platform or with most of its peers. */
-    private long contactAt;
+    /** Time of the last contact with the platform or at least half of the peers. */
+    private long lastContactAt;
 
-    /** {@code true} once the router is stopping and the balancer had time to notice. */
+    /** Set once load balancers had time to stop sending requests to a draining router. */
     private boolean closed;
 
-    /** {@code true} once the router is stopping. */
     private boolean draining;
 
     /**
-     * Creates the readiness of a router that just started.
+     * Creates the readiness of a router that has just started.
      *
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
     public Readiness(long now) {
         startedAt = now;
-        contactAt = now;
+        lastContactAt = now;
     }
 
     /**
-     * Takes in the present contacts.
+     * Updates the time of the last contact.
      *
-     * @param platformAnsweredAt When the platform last answered.
-     * @param listed How many other routers the platform listed.
-     * @param heard How many of them are members now.
-     * @param now The time.
+     * @param platformAnsweredAt The time of the platform's last response.
+     * @param listed The number of other routers in the platform's box list.
+     * @param reachable The number of these that are members now.
+     * @param now The current time in milliseconds.
      */
-    public void contacts(long platformAnsweredAt, int listed, int heard, long now) {
-        contactAt = Math.max(contactAt, platformAnsweredAt);
-        if (heard > 0 && heard * 2 >= listed) {
-            contactAt = now;
+    public void contacts(long platformAnsweredAt, int listed, int reachable, long now) {
+        lastContactAt = Math.max(lastContactAt, platformAnsweredAt);
+        if (reachable > 0 && reachable * 2 >= listed) {
+            lastContactAt = now;
         }
     }
 
-    /** Notes that the router is stopping: it is not ready but still takes requests. */
+    /** Makes the router not ready. It still accepts requests until {@link #close()}. */
     public void drain() {
         draining = true;
     }
 
-    /** Notes that the router takes no more requests. */
+    /** Rejects all further requests. */
     public void close() {
         closed = true;
     }
 
     /**
-     * Returns whether the balancer should send requests here.
+     * Returns {@code true} if load balancers should send requests to this router.
      *
-     * @param configured {@code true} if a configuration is in force.
-     * @param now The time.
-     * @return {@code true} if it should.
+     * @param configured {@code true} if a configuration is active.
+     * @param now The current time in milliseconds.
+     * @return {@code true} if the router is ready.
      */
     public boolean ready(boolean configured, long now) {
-        return configured && !draining && !isolated(now);
+        return configured && !draining && !isIsolated(now);
     }
 
     /**
-     * Throws an exception if a request has to be refused.
+     * Throws a {@link MartenwellException} if the router accepts no requests.
      *
-     * @param configured {@code true} if a configuration is in force.
-     * @param now The time.
+     * @param configured {@code true} if a configuration is active.
+     * @param now The current time in milliseconds.
      */
     public void requireOpen(boolean configured, long now) {
         if (closed) {
@@ -82,24 +82,18 @@
                     .withRetryAfter(1_000);
         }
         if (!configured) {
-            throw MartenwellException.of(ErrorKind.NOT_READY, "No configuration is in force yet.")
+            throw MartenwellException.of(ErrorKind.NOT_READY, "No configuration is active yet.")
                     .withRetryAfter(1_000);
         }
-        if (isolated(now)) {
+        if (isIsolated(now)) {
             throw MartenwellException.of(
                             ErrorKind.NOT_READY,
-                            "The router is cut off from the platform and its peers.")
+                            "The router has lost contact with the platform and its peers.")
                     .withRetryAfter(1_000);
         }
     }
 
-    /**
-     * Returns whether the router is cut off.
-     *
-     * @param now The time.
-     * @return {@code true} if it is.
-     */
-    private boolean isolated(long now) {
-        return now - Math.max(startedAt, contactAt) > ISOLATION_MILLIS;
+    private boolean isIsolated(long now) {
+        return now - Math.max(startedAt, lastContactAt) > ISOLATION_MILLIS;
     }
 }
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -26,60 +26,51 @@
 import org.martenwell.target.TargetConnector;
 import org.martenwell.target.TargetResponse;
 
-/** Brings requests to targets and their answers back, with retries where they are safe. */
+/**
+ * Sends requests to targets, relays their responses and retries failed attempts where that is safe.
+ */
 public final class RequestDispatcher {
 
-    /**
-     * The share of an output token's cost that a prompt token has; a guess, see the design page.
-     */
-    private static final double PROMPT_TOKEN_SHARE = 0.05;
+    /** Cost of a prompt token relative to an output token. */
+    private static final double PROMPT_TOKEN_WEIGHT = 0.05;
 
-    /** How many bytes of a prompt make a token; a guess, as the engine tells it only at the end. */
+    /** Assumed length of a token. Engines report the real number only at the end of a response. */
     private static final double BYTES_PER_TOKEN = 4;
 
-    /** The largest answer that is read whole before it goes on, in bytes. */
-    private static final int MAX_WHOLE_BYTES = 4 << 20;
+    /** Maximum size of a response that is buffered. */
+    private static final int MAX_BUFFERED_BYTES = 4 << 20;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Gives slots. */
     private final FleetScheduler scheduler;
 
-    /** Talks to targets. */
     private final TargetConnector connector;
 
-    /** Refuses what can't be served in time. */
     private final AdmissionControl admission;
 
-    /** Bounds retries. */
     private final RetryBudget budget = new RetryBudget();
 
-    /** Counts service of requests whose tokens are not seen. */
+    /** Meters of running requests whose output tokens can't be counted. */
     private final ServiceMeters meters = new ServiceMeters();
 
-    /** Logs decisions. */
     private final RouteLog log;
 
-    /** Is told of targets that refuse work. */
-    private final TargetRefusalListener signs;
+    private final TargetRefusalListener refusalListener;
 
-    /** Counts what happens. */
     private final RouterMetrics metrics;
 
-    /** The number of the next request. */
-    private long nextNumber;
+    private long lastNumber;
 
     /**
      * Creates a dispatcher.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param name This router's name.
-     * @param scheduler Gives slots.
-     * @param connector Talks to targets.
-     * @param admission Refuses what can't be served in time.
-     * @param signs Is told of targets that refuse work.
-     * @param metrics Counts what happens.
+     * @param scheduler The scheduler that assigns slots.
+     * @param connector The connector to targets.
+     * @param admission The admission control for requests that have to wait.
+     * @param refusalListener The listener for targets that refuse requests.
+     * @param metrics The metrics of this router.
      */
     public RequestDispatcher(
             NioReactor reactor,
@@ -87,93 +78,77 @@
             FleetScheduler scheduler,
             TargetConnector connector,
             AdmissionControl admission,
-            TargetRefusalListener signs,
+            TargetRefusalListener refusalListener,
             RouterMetrics metrics) {
         this.reactor = reactor;
         this.scheduler = scheduler;
         this.connector = connector;
         this.admission = admission;
-        this.signs = signs;
+        this.refusalListener = refusalListener;
         this.metrics = metrics;
         this.log = new RouteLog(name);
     }
 
     /**
-     * Brings a request to a target.
+     * Sends a request to a target.
      *
      * @param request The request.
-     * @return The answer.
+     * @return The response. Fails with a {@link MartenwellException} whose outcome covers all
+     *     attempts.
      */
     public Promise<RoutedAnswer> dispatch(RoutedRequest request) {
         budget.countFresh();
         return attempt(new RequestProgress(request));
     }
 
-    /** Counts service of requests whose tokens are not seen. To be called now and then. */
+    /** Records the service of running requests by elapsed time. Called periodically. */
     public void tick() {
-        meters.tick(reactor.currentTimeMillis());
+        meters.update(reactor.currentTimeMillis());
     }
 
-    /**
-     * Returns the bound on retries.
-     *
-     * @return The budget.
-     */
+    /** {@return the budget that limits retries} */
     public RetryBudget retryBudget() {
         return budget;
     }
 
-    /**
-     * Makes one attempt, and another one if that is safe.
-     *
-     * @param life The request's life.
-     * @return The answer.
-     */
-    private Promise<RoutedAnswer> attempt(RequestProgress life) {
-        life.begin();
-        return assign(life)
-                .then(assignment -> send(life, assignment))
-                .then(Promise::of, exception -> failed(life, exception));
+    private Promise<RoutedAnswer> attempt(RequestProgress progress) {
+        progress.startAttempt();
+        return assign(progress)
+                .then(assignment -> send(progress, assignment))
+                .then(Promise::of, exception -> retryOrFail(progress, exception));
     }
 
-    /**
-     * Gets a slot for a request.
-     *
-     * @param life The request's life.
-     * @return The slot.
-     */
-    private Promise<Assignment> assign(RequestProgress life) {
+    private Promise<Assignment> assign(RequestProgress progress) {
         long now = reactor.currentTimeMillis();
-        WaitingRequest waiting = waitingRequest(life.request(), now);
+        WaitingRequest waiting = waitingRequest(progress.request(), now);
         Optional<Assignment> lent = scheduler.takeLent(waiting);
         if (lent.isPresent()) {
             return Promise.of(lent.get());
         }
         String organisation = waiting.organisation();
         try {
-            admission.admitWaiting(organisation, life.request().contract(), waiting.bytes(), now);
+            admission.admitWaiting(
+                    organisation, progress.request().contract(), waiting.bytes(), now);
         } catch (MartenwellException refusal) {
             return Promise.ofException(refusal);
         }
-        long limit = Math.max(0, life.request().contract().maxWaitMillis() - life.waitedMillis());
+        long limit =
+                Math.max(
+                        0, progress.request().contract().maxWaitMillis() - progress.waitedMillis());
         return scheduler
-                .await(waiting, limit)
+                .awaitSlot(waiting, limit)
                 .whenComplete(
                         (assignment, exception) -> {
-                            long then = reactor.currentTimeMillis();
-                            life.waited(then - now);
+                            long endedAt = reactor.currentTimeMillis();
+                            progress.addWait(endedAt - now);
                             admission.endWaiting(
-                                    organisation, waiting.bytes(), assignment != null, then);
+                                    organisation, waiting.bytes(), assignment != null, endedAt);
                         })
                 .mapException(exception -> withRetryAfter(exception, organisation));
     }
 
     /**
-     * Tells a caller whose request waited too long when to come back.
-     *
-     * @param exception The failure.
-     * @param organisation The organisation.
-     * @return The failure with a time.
+     * Adds the estimated wait, at least a second, to the failure of a request that waited too long.
      */
     private Exception withRetryAfter(Exception exception, String organisation) {
         if (exception instanceof MartenwellException known) {
@@ -183,17 +158,10 @@
         return exception;
     }
 
-    /**
-     * Describes a request to the scheduler.
-     *
-     * @param request The request.
-     * @param now The time.
-     * @return The description.
-     */
     private WaitingRequest waitingRequest(RoutedRequest request, long now) {
-        nextNumber++;
+        lastNumber++;
         return new WaitingRequest(
-                nextNumber,
+                lastNumber,
                 request.pool(),
                 request.organisation().name(),
                 request.message().priority(),
@@ -202,115 +170,79 @@
                 request.message().body().length);
     }
 
-    /**
-     * Sends a request to the target of its slot.
-     *
-     * @param life The request's life.
-     * @param assignment The slot.
-     * @return The answer.
-     */
-    private Promise<RoutedAnswer> send(RequestProgress life, Assignment assignment) {
-        RoutedRequest request = life.request();
+    private Promise<RoutedAnswer> send(RequestProgress progress, Assignment assignment) {
+        RoutedRequest request = progress.request();
         Slot slot = assignment.slot();
-        log.routed(life, assignment);
-        metrics.routed(life.waitedMillis());
-        life.written();
+        log.routed(progress, assignment);
+        metrics.routed(progress.waitedMillis());
+        progress.markSent();
         return connector
                 .start(slot.target(), request.message())
                 .whenException(
                         exception -> {
-                            scheduler.finish(slot, true);
-                            noteFailure(life.request(), slot.target(), exception);
+                            scheduler.release(slot, true);
+                            handleSendFailure(progress.request(), slot.target(), exception);
                         })
-                .then(answer -> answered(life, slot, answer));
+                .then(response -> onResponse(progress, slot, response));
     }
 
     /**
-     * Ends at the target what nobody waits for any more, and notes a refusal to start, so that no
-     * router sends it more.
-     *
-     * @param request The request.
-     * @param target The target.
-     * @param exception The failure.
+     * Reports a target that refused a request, and cancels the request at the target if it may
+     * still run there.
      */
-    private void noteFailure(RoutedRequest request, Target target, Exception exception) {
+    private void handleSendFailure(RoutedRequest request, Target target, Exception exception) {
         if (!(exception instanceof MartenwellException known)) {
             return;
         }
         if (known.kind() == ErrorKind.TARGET_REFUSED) {
-            signs.refused(target);
+            refusalListener.refused(target);
         }
         if (known.outcome() != Outcome.NOT_RUN && request.pool().kind() == PoolKind.MODEL) {
             connector.cancel(target, request.message().id());
         }
     }
 
-    /**
-     * Passes on an answer that has begun.
-     *
-     * @param life The request's life.
-     * @param slot The slot.
-     * @param answer The beginning of the answer.
-     * @return The answer for the caller.
-     */
-    private Promise<RoutedAnswer> answered(RequestProgress life, Slot slot, TargetResponse answer) {
-        life.answering();
-        chargePrompt(life.request());
-        if (life.request().streamed() && answer.status() == 200) {
-            return Promise.of(stream(life, slot, answer));
+    private Promise<RoutedAnswer> onResponse(
+            RequestProgress progress, Slot slot, TargetResponse response) {
+        progress.markResponding();
+        recordPromptService(progress.request());
+        if (progress.request().streamed() && response.status() == 200) {
+            return Promise.of(relayStream(progress, slot, response));
         }
-        return readWhole(life, slot, answer);
+        return bufferResponse(progress, slot, response);
     }
 
-    /**
-     * Counts the service of a prompt that the target has started on.
-     *
-     * @param request The request.
-     */
-    private void chargePrompt(RoutedRequest request) {
+    /** Records the estimated service of prefilling a prompt when the response begins. */
+    private void recordPromptService(RoutedRequest request) {
         double tokens = request.message().body().length / BYTES_PER_TOKEN;
-        double units = tokens * PROMPT_TOKEN_SHARE * request.unitsPerToken();
+        double units = tokens * PROMPT_TOKEN_WEIGHT * request.unitsPerToken();
         if (units > 0) {
-            scheduler.served(request.organisation().name(), units);
+            scheduler.recordService(request.organisation().name(), units);
         }
     }
 
-    /**
-     * Passes on a stream.
-     *
-     * @param life The request's life.
-     * @param slot The slot.
-     * @param answer The beginning of the answer.
-     * @return The answer for the caller.
-     */
-    private RoutedAnswer stream(RequestProgress life, Slot slot, TargetResponse answer) {
+    private RoutedAnswer relayStream(RequestProgress progress, Slot slot, TargetResponse response) {
         StreamRelay relay =
                 new StreamRelay(
                         connector,
                         slot.target(),
-                        life.request().message().id(),
-                        answer.body(),
-                        new StreamAccounting(life, slot, scheduler, log, metrics));
+                        progress.request().message().id(),
+                        response.body(),
+                        new StreamAccounting(progress, slot, scheduler, log, metrics));
         return new RoutedAnswer(
-                answer.status(),
-                HeaderFields.forCaller(answer.headers()),
+                response.status(),
+                HeaderFields.forCaller(response.headers()),
                 relay,
                 false,
                 Outcome.UNKNOWN);
     }
 
     /**
-     * Reads an answer whole before it goes on, so that a broken one can be retried and none is ever
-     * cut short.
-     *
-     * @param life The request's life.
-     * @param slot The slot.
-     * @param answer The beginning of the answer.
-     * @return The answer for the caller.
+     * Buffers a response, so that a failed one can be retried and no caller gets a truncated one.
      */
-    private Promise<RoutedAnswer> readWhole(
-            RequestProgress life, Slot slot, TargetResponse answer) {
-        RoutedRequest request = life.request();
+    private Promise<RoutedAnswer> bufferResponse(
+            RequestProgress progress, Slot slot, TargetResponse response) {
+        RoutedRequest request = progress.request();
         long startedAt = reactor.currentTimeMillis();
         ServiceMeter meter =
                 new ServiceMeter(
@@ -319,38 +251,34 @@
                         request.unitsPerSecond(),
                         startedAt);
         meters.add(meter);
-        Promise<ByteBuf> body = answer.body().toCollector(ByteBufs.collector(MAX_WHOLE_BYTES));
+        Promise<ByteBuf> body = response.body().toCollector(ByteBufs.collector(MAX_BUFFERED_BYTES));
         return Promises.timeout(Duration.ofMillis(request.message().timeoutMillis()), body)
                 .whenComplete(
                         (buffer, exception) -> {
                             meters.remove(meter);
-                            answer.body().close();
-                            scheduler.finish(slot, exception != null);
+                            response.body().close();
+                            scheduler.release(slot, exception != null);
                         })
                 .mapException(
                         exception ->
                                 MartenwellException.of(
                                         ErrorKind.TARGET_FAILED,
-                                        "The target broke off its answer.",
+                                        "The response of the target is incomplete.",
                                         exception))
                 .map(
                         buffer -> {
                             byte[] bytes = buffer.asArray();
-                            life.answered();
-                            meter.end(units(request, bytes, startedAt));
-                            return whole(answer, bytes);
+                            progress.markComplete();
+                            meter.finish(deliveredUnits(request, bytes, startedAt));
+                            return bufferedResponse(response, bytes);
                         });
     }
 
     /**
-     * Returns the true service of a request that ended.
-     *
-     * @param request The request.
-     * @param body The answer's body.
-     * @param startedAt When it started.
-     * @return The service in units.
+     * Returns the service that a complete response delivered: by time for services without tokens,
+     * else by the token usage reported in the body, or 0 if there is none.
      */
-    private double units(RoutedRequest request, byte[] body, long startedAt) {
+    private double deliveredUnits(RoutedRequest request, byte[] body, long startedAt) {
         if (request.unitsPerToken() == 0) {
             long elapsed = reactor.currentTimeMillis() - startedAt;
             return elapsed * request.unitsPerSecond() / 1000;
@@ -363,17 +291,10 @@
         }
     }
 
-    /**
-     * Builds the caller's answer from one that was read whole.
-     *
-     * @param answer The beginning of the answer.
-     * @param body Its body.
-     * @return The answer for the caller.
-     */
-    private static RoutedAnswer whole(TargetResponse answer, byte[] body) {
-        List<HeaderField> headers = HeaderFields.forCaller(answer.headers());
+    private static RoutedAnswer bufferedResponse(TargetResponse response, byte[] body) {
+        List<HeaderField> headers = HeaderFields.forCaller(response.headers());
         return new RoutedAnswer(
-                answer.status(),
+                response.status(),
                 headers,
                 ChannelSuppliers.ofValue(ByteBuf.wrapForReading(body)),
                 true,
@@ -381,34 +302,25 @@
     }
 
     /**
-     * Makes another attempt if that is safe, or states what is known.
-     *
-     * @param life The request's life.
-     * @param exception Why the attempt failed.
-     * @return The answer of another attempt or the failure.
+     * Retries a failed attempt if that is safe and within the budget, or fails the request with its
+     * overall outcome.
      */
-    private Promise<RoutedAnswer> failed(RequestProgress life, Exception exception) {
+    private Promise<RoutedAnswer> retryOrFail(RequestProgress progress, Exception exception) {
         MartenwellException failure =
                 exception instanceof MartenwellException known
                         ? known
                         : MartenwellException.of(
-                                ErrorKind.INTERNAL, "The router failed.", exception);
-        MartenwellException concluded = life.conclude(failure);
+                                ErrorKind.INTERNAL, "Internal error in the router.", exception);
+        MartenwellException concluded = progress.withOverallOutcome(failure);
         boolean targetFailed = isTargetFailure(failure.kind());
-        if (targetFailed && life.mayRetry() && budget.takeRetry()) {
+        if (targetFailed && progress.canRetry() && budget.takeRetry()) {
             metrics.retried();
-            return attempt(life);
+            return attempt(progress);
         }
-        log.failed(life.request(), concluded);
+        log.failed(progress.request(), concluded);
         return Promise.ofException(concluded);
     }
 
-    /**
-     * Returns whether a failure is a target's, so that another target may do better.
-     *
-     * @param kind The failure's kind.
-     * @return {@code true} if it is.
-     */
     private static boolean isTargetFailure(ErrorKind kind) {
         return kind == ErrorKind.TARGET_FAILED
                 || kind == ErrorKind.TARGET_REFUSED
--- a/src/main/java/org/martenwell/router/RequestPhase.java
+++ b/src/main/java/org/martenwell/router/RequestPhase.java
@@ -3,40 +3,35 @@
 import org.martenwell.error.Outcome;
 
 /**
- * How far a request has come. What may be said of it if it fails follows from the phase alone, so
- * that nobody can say that it did not run once a byte of it was written.
+ * Phase of an attempt. Each phase has the outcome that holds if the attempt fails in it, so that a
+ * request that was sent is never reported as not run.
  */
 public enum RequestPhase {
 
-    /** It waits for a slot; nothing was written to any target. */
+    /** Waiting for a slot; nothing was sent to a target. */
     WAITING(Outcome.NOT_RUN),
 
-    /** Bytes may have been written to a target. */
-    WRITTEN(Outcome.UNKNOWN),
+    /** Bytes may have been sent to a target. */
+    SENT(Outcome.UNKNOWN),
 
-    /** The target's answer has begun. */
-    ANSWERING(Outcome.UNKNOWN),
+    /** The target's response has begun. */
+    RESPONDING(Outcome.UNKNOWN),
 
-    /** The whole answer arrived. */
-    ANSWERED(Outcome.RAN);
+    /** The complete response was received. */
+    COMPLETE(Outcome.RAN);
 
-    /** What is known of a request in this phase. */
     private final Outcome outcome;
 
     /**
      * Creates a phase.
      *
-     * @param outcome What is known of a request in this phase.
+     * @param outcome The outcome of an attempt that fails in this phase.
      */
     RequestPhase(Outcome outcome) {
         this.outcome = outcome;
     }
 
-    /**
-     * Returns what is known of a request in this phase.
-     *
-     * @return The outcome.
-     */
+    /** {@return the outcome of an attempt that fails in this phase} */
     public Outcome outcome() {
         return outcome;
     }
--- a/src/main/java/org/martenwell/router/RequestProgress.java
+++ b/src/main/java/org/martenwell/router/RequestProgress.java
@@ -3,29 +3,26 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
 
-/** The course of one request through this router, over all its attempts. */
+/** Progress of a request over all its attempts. */
 final class RequestProgress {
 
-    /** The most attempts. */
     private static final int MAX_ATTEMPTS = 3;
 
-    /** The request. */
     private final RoutedRequest request;
 
-    /** How far the current attempt has come. */
     private RequestPhase phase = RequestPhase.WAITING;
 
-    /** {@code true} once an earlier attempt may have run. */
+    /** Set once any attempt may have run at a target. */
     private boolean mayHaveRun;
 
-    /** How many attempts were begun. */
+    /** Number of attempts started. */
     private int attempts;
 
-    /** How long the request has waited for slots, in milliseconds. */
+    /** Time spent waiting for slots, over all attempts. */
     private long waitedMillis;
 
     /**
-     * Creates the life of a request that just arrived.
+     * Creates the progress of a new request.
      *
      * @param request The request.
      */
@@ -33,71 +30,59 @@
         this.request = request;
     }
 
-    /**
-     * Returns the request.
-     *
-     * @return The request.
-     */
+    /** {@return the request} */
     RoutedRequest request() {
         return request;
     }
 
-    /** Begins an attempt. */
-    void begin() {
+    /** Starts an attempt. */
+    void startAttempt() {
         attempts++;
         phase = RequestPhase.WAITING;
     }
 
-    /** Notes that bytes may now be written to a target. */
-    void written() {
-        phase = RequestPhase.WRITTEN;
+    /** Records that bytes may be written to a target from now on. */
+    void markSent() {
+        phase = RequestPhase.SENT;
     }
 
-    /** Notes that the answer has begun. */
-    void answering() {
-        phase = RequestPhase.ANSWERING;
+    /** Records that the response has begun. */
+    void markResponding() {
+        phase = RequestPhase.RESPONDING;
     }
 
-    /** Notes that the whole answer arrived. */
-    void answered() {
-        phase = RequestPhase.ANSWERED;
+    /** Records that the complete response was received. */
+    void markComplete() {
+        phase = RequestPhase.COMPLETE;
     }
 
     /**
-     * Adds to the time waited.
+     * Adds time spent waiting for a slot.
      *
      * @param millis The time in milliseconds.
      */
-    void waited(long millis) {
+    void addWait(long millis) {
         waitedMillis += millis;
     }
 
-    /**
-     * Returns how long the request has waited.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the time spent waiting for slots in milliseconds, over all attempts} */
     long waitedMillis() {
         return waitedMillis;
     }
 
-    /**
-     * Returns how many attempts were begun.
-     *
-     * @return The number of attempts.
-     */
+    /** {@return the number of attempts started} */
     int attempts() {
         return attempts;
     }
 
     /**
-     * States the outcome of a failure. It is firmer than the phase's only if the failure itself
-     * knows, because no byte was written or the target said that it had not started.
+     * Sets the outcome of a failure to that of the whole request. An attempt counts as not run only
+     * if no byte was sent or the failure itself says so, as when the target rejected the request.
      *
      * @param failure The failure of the current attempt.
-     * @return The failure with the outcome of the whole request.
+     * @return The failure with the outcome over all attempts.
      */
-    MartenwellException conclude(MartenwellException failure) {
+    MartenwellException withOverallOutcome(MartenwellException failure) {
         boolean notRun = phase.outcome() == Outcome.NOT_RUN || failure.outcome() == Outcome.NOT_RUN;
         mayHaveRun = mayHaveRun || !notRun;
         if (!mayHaveRun) {
@@ -107,12 +92,8 @@
                 failure.outcome() == Outcome.RAN ? Outcome.RAN : Outcome.UNKNOWN);
     }
 
-    /**
-     * Returns whether another attempt is safe and left.
-     *
-     * @return {@code true} if the request may be sent again.
-     */
-    boolean mayRetry() {
+    /** {@return {@code true} if another attempt is safe and the maximum is not reached} */
+    boolean canRetry() {
         boolean safe = !mayHaveRun || request.message().repeatable();
         return safe && attempts < MAX_ATTEMPTS;
     }
--- a/src/main/java/org/martenwell/router/RouteLog.java
+++ b/src/main/java/org/martenwell/router/RouteLog.java
@@ -6,13 +6,11 @@
 import org.martenwell.observe.LogEvent;
 import org.martenwell.schedule.Assignment;
 
-/** Logs a line for each routing decision and each end of a request. */
+/** Logs routing decisions, resumed streams and failed requests, one line each. */
 final class RouteLog {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(RouteLog.class);
 
-    /** This router's name. */
     private final String router;
 
     /**
@@ -25,20 +23,20 @@
     }
 
     /**
-     * Logs that a request goes to a target.
+     * Logs that a request is sent to a target.
      *
-     * @param life The request's life.
-     * @param assignment Its slot.
+     * @param progress The progress of the request.
+     * @param assignment The slot assigned to the request.
      */
-    void routed(RequestProgress life, Assignment assignment) {
+    void routed(RequestProgress progress, Assignment assignment) {
         LOGGER.info(
-                line("route", life.request())
+                line("route", progress.request())
                         .with("verdict", "admitted")
-                        .with("priority", life.request().message().priority())
+                        .with("priority", progress.request().message().priority())
                         .with("target", assignment.slot().target().name())
                         .with("reason", assignment.reason().word())
-                        .with("waitedMillis", life.waitedMillis())
-                        .with("attempt", life.attempts())
+                        .with("waitedMillis", progress.waitedMillis())
+                        .with("attempt", progress.attempts())
                         .message());
     }
 
@@ -46,7 +44,7 @@
      * Logs that a request failed.
      *
      * @param request The request.
-     * @param failure Why.
+     * @param failure The failure, with the outcome over all attempts.
      */
     void failed(RoutedRequest request, MartenwellException failure) {
         LOGGER.info(
@@ -58,22 +56,15 @@
     }
 
     /**
-     * Logs that a broken stream is resumed.
+     * Logs that an interrupted stream is resumed.
      *
      * @param request The request.
-     * @param lastId The id of the last whole event.
+     * @param lastId The id of the last complete event.
      */
     void resumed(RoutedRequest request, String lastId) {
         LOGGER.info(line("resume", request).with("after", lastId).message());
     }
 
-    /**
-     * Starts a line about a request.
-     *
-     * @param event What happened.
-     * @param request The request.
-     * @return The line.
-     */
     private LogEvent line(String event, RoutedRequest request) {
         return LogEvent.of(event)
                 .with("router", router)
--- a/src/main/java/org/martenwell/router/RoutedAnswer.java
+++ b/src/main/java/org/martenwell/router/RoutedAnswer.java
@@ -7,13 +7,13 @@
 import org.martenwell.http.HeaderField;
 
 /**
- * A target's answer on its way to the caller.
+ * Response to a caller.
  *
  * @param status The HTTP status.
- * @param headers The header fields that go on to the caller.
- * @param body The body, piece by piece.
- * @param whole {@code true} if the body has arrived whole.
- * @param outcome What is known of the request.
+ * @param headers The header fields for the caller.
+ * @param body The body, in chunks.
+ * @param whole {@code true} if the complete body was received from the target.
+ * @param outcome The known outcome of the request.
  */
 public record RoutedAnswer(
         int status,
--- a/src/main/java/org/martenwell/router/RoutedRequest.java
+++ b/src/main/java/org/martenwell/router/RoutedRequest.java
@@ -6,16 +6,18 @@
 import org.martenwell.target.TargetRequest;
 
 /**
- * A request that a policy admitted.
+ * Request admitted by a policy.
  *
- * @param message What is sent to the target.
- * @param organisation The organisation that it belongs to.
+ * @param message The message for the target.
+ * @param organisation The organisation that sent the request.
  * @param contract The organisation's contract.
- * @param pool The pool that serves it.
- * @param prefix The hash of the organisation and the leading block of the prompt, or 0.
- * @param streamed {@code true} if the answer is a stream of server-sent events.
- * @param unitsPerToken The service that a token delivers, in units, or 0 for a plain service.
- * @param unitsPerSecond The service that a second delivers while tokens are not seen, in units.
+ * @param pool The pool of targets that serve the request.
+ * @param prefix A hash of the organisation and the first block of the prompt, or 0 if there is no
+ *     prompt.
+ * @param streamed {@code true} if the response is a stream of server-sent events.
+ * @param unitsPerToken The service units that an output token counts for, or 0 for a service
+ *     without tokens.
+ * @param unitsPerSecond The service units that a second counts for while tokens can't be counted.
  */
 public record RoutedRequest(
         TargetRequest message,
--- a/src/main/java/org/martenwell/router/RouterMetrics.java
+++ b/src/main/java/org/martenwell/router/RouterMetrics.java
@@ -9,69 +9,59 @@
 import java.util.function.LongSupplier;
 import org.martenwell.error.ErrorKind;
 
-/** The metrics of a router. */
+/** Metrics of a router. */
 public final class RouterMetrics {
 
-    /** The registry. */
     private final MetricRegistry registry = new MetricRegistry();
 
-    /** Requests sent to targets, retries included. */
+    /** Attempts sent to targets, including retries. */
     private final Counter routed = registry.counter("requests_routed");
 
-    /** Answers begun to callers. */
+    /** Responses returned by targets or from the ledger. */
     private final Counter answered = registry.counter("requests_answered");
 
-    /** Attempts after the first. */
     private final Counter retried = registry.counter("requests_retried");
 
-    /** Streams resumed. */
     private final Counter resumed = registry.counter("streams_resumed");
 
-    /** Streams open now. */
-    private final Counter streams = registry.counter("streams_open");
+    private final Counter openStreams = registry.counter("streams_open");
 
-    /** Callers that left before their answer ended. */
-    private final Counter left = registry.counter("callers_left");
+    private final Counter callersLeft = registry.counter("callers_left");
 
-    /** The time that requests waited for a slot, in milliseconds. */
-    private final Histogram waited = registry.histogram("wait_millis");
+    private final Histogram waitMillis = registry.histogram("wait_millis");
 
-    /** Refusals and failures by kind. */
+    /** Rejected and failed requests, by kind of error. */
     private final Map<ErrorKind, Counter> refusals = new EnumMap<>(ErrorKind.class);
 
-    /** Creates metrics at zero. */
+    /** Creates metrics with all counters at zero. */
     public RouterMetrics() {}
 
-    /**
-     * Returns the registry.
-     *
-     * @return The registry.
-     */
+    /** {@return the registry that contains all metrics} */
     public MetricRegistry registry() {
         return registry;
     }
 
     /**
-     * Adds a number that is read when asked for.
+     * Registers a gauge.
      *
-     * @param name The number's name.
-     * @param value Reads it.
+     * @param name The name of the metric, not yet registered.
+     * @param value The supplier of the current value.
      */
     public void gauge(String name, LongSupplier value) {
         registry.register(name, (Gauge<Long>) value::getAsLong);
     }
 
     /**
-     * Counts a request sent to a target.
+     * Counts an attempt sent to a target.
      *
-     * @param waitedMillis How long it waited for a slot, in milliseconds.
+     * @param waitedMillis The time that the request waited for slots, in milliseconds.
      */
     void routed(long waitedMillis) {
         routed.inc();
-        waited.update(waitedMillis);
+        waitMillis.update(waitedMillis);
     }
 
-    /** Counts an answer begun to a caller. */
+    /** Counts a response returned by a target or from the ledger. */
     public void answered() {
         answered.inc();
     }
@@ -81,30 +71,30 @@
         retried.inc();
     }
 
-    /** Counts a stream resumed. */
+    /** Counts a resumed stream. */
     void resumed() {
         resumed.inc();
     }
 
-    /** Counts a stream opened. */
+    /** Counts an opened stream. */
     void streamOpened() {
-        streams.inc();
+        openStreams.inc();
     }
 
-    /** Counts a stream closed. */
+    /** Counts a closed stream. */
     void streamClosed() {
-        streams.dec();
+        openStreams.dec();
     }
 
-    /** Counts a caller that left. */
-    void callerLeft() {
-        left.inc();
+    /** Counts a caller that disconnected before the end of its response. */
+    void callerDisconnected() {
+        callersLeft.inc();
     }
 
     /**
-     * Counts a refusal or failure.
+     * Counts a rejected or failed request.
      *
-     * @param kind Its kind.
+     * @param kind The kind of error.
      */
     public void refused(ErrorKind kind) {
         refusals.computeIfAbsent(kind, key -> registry.counter("refused_" + key.code())).inc();
--- a/src/main/java/org/martenwell/router/RouterStatus.java
+++ b/src/main/java/org/martenwell/router/RouterStatus.java
@@ -4,16 +4,17 @@
 import java.util.Set;
 
 /**
- * What operators see of a router.
+ * Status of a router for operators.
  *
  * @param router The router's name.
- * @param ready {@code true} if the balancer should send requests there.
- * @param configurationVersion The version in force or 0.
- * @param members The versions in force at the other members, by name.
- * @param keeps The targets that it keeps.
- * @param running The requests that run through it.
- * @param waiting The requests that wait at it.
- * @param served The weighted service of the fleet as far as it knows, by organisation, in units.
+ * @param ready {@code true} if load balancers should send requests to the router.
+ * @param configurationVersion The active configuration version, or 0 if there is none.
+ * @param members The active configuration versions of the other members, by name.
+ * @param keeps The targets that the router coordinates.
+ * @param running The number of requests that run through the router.
+ * @param waiting The number of requests that wait at the router.
+ * @param served The weighted service of each organisation over the fleet, as known to the router,
+ *     in units.
  */
 public record RouterStatus(
         String router,
--- a/src/main/java/org/martenwell/router/RouterTimes.java
+++ b/src/main/java/org/martenwell/router/RouterTimes.java
@@ -1,16 +1,17 @@
 package org.martenwell.router;
 
 /**
- * How often a router does what it does now and then.
+ * Intervals of a router's periodic tasks.
  *
- * @param countersMillis How often changed counters go to peers, in milliseconds.
- * @param maintainMillis How often grants are checked for losses, in milliseconds.
- * @param meterMillis How often service is counted by time, in milliseconds.
- * @param pollMillis How often kept targets are asked for their load, in milliseconds.
+ * @param countersMillis The interval between broadcasts of changed service counters, in
+ *     milliseconds.
+ * @param maintainMillis The interval between checks for lost grants, in milliseconds.
+ * @param meterMillis The interval at which service is recorded by elapsed time, in milliseconds.
+ * @param pollMillis The interval between load polls of coordinated targets, in milliseconds.
  */
 public record RouterTimes(
         long countersMillis, long maintainMillis, long meterMillis, long pollMillis) {
 
-    /** The times in use unless a test says otherwise. */
+    /** The default intervals. */
     public static final RouterTimes DEFAULTS = new RouterTimes(500, 1_000, 250, 500);
 }
--- a/src/main/java/org/martenwell/router/ServiceMeter.java
+++ b/src/main/java/org/martenwell/router/ServiceMeter.java
@@ -1,30 +1,29 @@
 package org.martenwell.router;
 
-/** Counts the service of one request whose tokens are not seen while it runs. */
+/**
+ * Records the service of a running request by elapsed time, for requests whose output tokens can't
+ * be counted.
+ */
 final class ServiceMeter {
 
-    /** Counts service. */
     private final FleetScheduler scheduler;
 
-    /** The organisation served. */
     private final String organisation;
 
-    /** The service that a second is taken to deliver, in units. */
     private final double unitsPerSecond;
 
-    /** When the request started. */
     private final long startedAt;
 
-    /** The service counted so far, in units. */
-    private double counted;
+    /** Service recorded so far, in units. */
+    private double recorded;
 
     /**
-     * Creates a meter of a request that starts now.
+     * Creates a meter for a request that starts now.
      *
-     * @param scheduler Counts service.
-     * @param organisation The organisation served.
-     * @param unitsPerSecond The service that a second is taken to deliver, in units.
-     * @param now The time.
+     * @param scheduler The scheduler that records service.
+     * @param organisation The organisation that receives the service.
+     * @param unitsPerSecond The service units that a second counts for.
+     * @param now The current time in milliseconds.
      */
     ServiceMeter(FleetScheduler scheduler, String organisation, double unitsPerSecond, long now) {
         this.scheduler = scheduler;
@@ -34,33 +33,28 @@
     }
 
     /**
-     * Counts the service up to now by the time that passed.
+     * Records the service up to now, estimated by elapsed time.
      *
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
-    void tick(long now) {
-        raise((now - startedAt) * unitsPerSecond / 1000);
+    void update(long now) {
+        raiseTo((now - startedAt) * unitsPerSecond / 1000);
     }
 
     /**
-     * Counts what is missing up to the true service. What was counted too much stays counted,
-     * because counters never fall.
+     * Records the rest of the actual service. An estimate that was too high is not corrected,
+     * because service counters only increase.
      *
-     * @param units The true service in units.
+     * @param units The actual service of the request, in units.
      */
-    void end(double units) {
-        raise(units);
+    void finish(double units) {
+        raiseTo(units);
     }
 
-    /**
-     * Raises the service counted.
-     *
-     * @param units The service to reach, in units.
-     */
-    private void raise(double units) {
-        if (units > counted) {
-            scheduler.served(organisation, units - counted);
-            counted = units;
+    private void raiseTo(double units) {
+        if (units > recorded) {
+            scheduler.recordService(organisation, units - recorded);
+            recorded = units;
         }
     }
 }
--- a/src/main/java/org/martenwell/router/ServiceMeters.java
+++ b/src/main/java/org/martenwell/router/ServiceMeters.java
@@ -3,17 +3,16 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The meters of requests that run now. */
+/** Meters of the running requests. */
 final class ServiceMeters {
 
-    /** The meters. */
     private final Set<ServiceMeter> meters = new HashSet<>();
 
     /** Creates an empty set. */
     ServiceMeters() {}
 
     /**
-     * Adds the meter of a request that starts.
+     * Adds the meter of a started request.
      *
      * @param meter The meter.
      */
@@ -22,7 +21,7 @@
     }
 
     /**
-     * Removes the meter of a request that ended.
+     * Removes the meter of a finished request.
      *
      * @param meter The meter.
      */
@@ -31,11 +30,11 @@
     }
 
     /**
-     * Counts service up to now.
+     * Records the service of all running requests up to now.
      *
-     * @param now The time.
+     * @param now The current time in milliseconds.
      */
-    void tick(long now) {
-        meters.forEach(meter -> meter.tick(now));
+    void update(long now) {
+        meters.forEach(meter -> meter.update(now));
     }
 }
--- a/src/main/java/org/martenwell/router/StreamAccounting.java
+++ b/src/main/java/org/martenwell/router/StreamAccounting.java
@@ -3,40 +3,35 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.schedule.Slot;
 
-/** Counts the service of one stream and gives its slot back at the end. */
+/** Records the service of one stream and releases its slot at the end. */
 final class StreamAccounting implements StreamListener {
 
-    /** The request's life. */
-    private final RequestProgress life;
+    private final RequestProgress progress;
 
-    /** The slot. */
     private final Slot slot;
 
-    /** Counts service and takes the slot back. */
     private final FleetScheduler scheduler;
 
-    /** Logs what happens. */
     private final RouteLog log;
 
-    /** Counts what happens. */
     private final RouterMetrics metrics;
 
     /**
-     * Creates a listener.
+     * Creates a listener for a stream that starts now.
      *
-     * @param life The request's life.
-     * @param slot The slot.
-     * @param scheduler Counts service and takes the slot back.
-     * @param log Logs what happens.
-     * @param metrics Counts what happens.
+     * @param progress The progress of the request.
+     * @param slot The slot that the stream occupies.
+     * @param scheduler The scheduler that records service and releases the slot.
+     * @param log The log of this router.
+     * @param metrics The metrics of this router.
      */
     StreamAccounting(
-            RequestProgress life,
+            RequestProgress progress,
             Slot slot,
             FleetScheduler scheduler,
             RouteLog log,
             RouterMetrics metrics) {
-        this.life = life;
+        this.progress = progress;
         this.slot = slot;
         this.scheduler = scheduler;
         this.log = log;
@@ -46,34 +41,34 @@
 
     @Override
     public void events(int count) {
-        scheduler.served(slot.organisation(), count * life.request().unitsPerToken());
+        scheduler.recordService(slot.organisation(), count * progress.request().unitsPerToken());
     }
 
     @Override
     public void resumed(String lastId) {
         metrics.resumed();
-        log.resumed(life.request(), lastId);
+        log.resumed(progress.request(), lastId);
     }
 
     @Override
-    public void ended() {
-        life.answered();
+    public void completed() {
+        progress.markComplete();
         metrics.streamClosed();
-        scheduler.finish(slot, false);
+        scheduler.release(slot, false);
     }
 
     @Override
-    public void left() {
+    public void disconnected() {
         metrics.streamClosed();
-        metrics.callerLeft();
-        scheduler.finish(slot, false);
+        metrics.callerDisconnected();
+        scheduler.release(slot, false);
     }
 
     @Override
     public void failed(MartenwellException failure) {
         metrics.streamClosed();
         metrics.refused(failure.kind());
-        log.failed(life.request(), life.conclude(failure));
-        scheduler.finish(slot, true);
+        log.failed(progress.request(), progress.withOverallOutcome(failure));
+        scheduler.release(slot, true);
     }
 }
--- a/src/main/java/org/martenwell/router/StreamListener.java
+++ b/src/main/java/org/martenwell/router/StreamListener.java
@@ -2,33 +2,36 @@
 
 import org.martenwell.error.MartenwellException;
 
-/** Is told of the course of a stream. Exactly one of the three ends is told, once. */
+/**
+ * Callbacks of a relayed stream. Exactly one of {@link #completed()}, {@link #disconnected()} and
+ * {@link #failed} is called, once.
+ */
 interface StreamListener {
 
     /**
-     * Called when whole events were passed on.
+     * Called when complete events are passed on.
      *
-     * @param count How many.
+     * @param count The number of events that carry data.
      */
     void events(int count);
 
     /**
-     * Called when a broken stream is resumed.
+     * Called before an interrupted stream is resumed.
      *
-     * @param lastId The id of the last whole event.
+     * @param lastId The id of the last complete event.
      */
     void resumed(String lastId);
 
-    /** Called when the stream ended whole. */
-    void ended();
+    /** Called when the stream ended with its end marker. */
+    void completed();
 
-    /** Called when the caller left. */
-    void left();
+    /** Called when the caller disconnected before the end of the stream. */
+    void disconnected();
 
     /**
-     * Called when the stream could not go on.
+     * Called when the stream could not be resumed.
      *
-     * @param failure Why.
+     * @param failure The error that the caller receives as the last event.
      */
     void failed(MartenwellException failure);
 }
--- a/src/main/java/org/martenwell/router/StreamRelay.java
+++ b/src/main/java/org/martenwell/router/StreamRelay.java
@@ -17,56 +17,50 @@
 import org.martenwell.target.TargetResponse;
 
 /**
- * Passes an engine's stream on to a caller, whole events at a time and only as fast as the caller
- * takes them. A broken stream goes on behind the last whole event; one that can't ends with an
- * error event and never as if it were whole.
+ * Relays an engine's event stream to a caller. Only complete events are passed on, no faster than
+ * the caller reads. An interrupted stream is resumed after the last complete event; if that fails,
+ * it ends with an error event and without the end marker.
  */
 final class StreamRelay extends AbstractChannelSupplier<ByteBuf> {
 
-    /** How often a broken stream is resumed without an event in between. */
+    /** Maximum number of consecutive resumes without an event that carries data. */
     private static final int MAX_RESUMES = 3;
 
-    /** How long an engine may send nothing within a stream, in milliseconds. */
+    /** Maximum time to wait for data from an engine within a stream. */
     private static final long STALL_MILLIS = 15_000;
 
-    /** How long to wait before a stream is resumed, in milliseconds, for each time in a row. */
+    /** Delay before the first resume; it grows by this amount with each consecutive one. */
     private static final long RESUME_DELAY_MILLIS = 50;
 
-    /** Talks to the target. */
     private final TargetConnector connector;
 
-    /** The target that runs the request. */
     private final Target target;
 
-    /** The request's id. */
     private final String requestId;
 
-    /** Is told of the stream's course. */
     private final StreamListener listener;
 
-    /** Cuts the stream behind whole events. */
     private final EventSplitter splitter = new EventSplitter();
 
-    /** The engine's stream. */
     private ChannelSupplier<ByteBuf> source;
 
-    /** The id of the last whole event passed on. */
+    /** Id of the last complete event passed on. */
     private Optional<String> lastId = Optional.empty();
 
-    /** How often the stream was resumed since the last event that carried data. */
+    /** Number of consecutive resumes since the last event that carried data. */
     private int resumes;
 
-    /** {@code true} once the end marker or an error event was passed on. */
-    private boolean ended;
+    /** Set once the end marker or an error event was passed on. */
+    private boolean terminated;
 
     /**
      * Creates a relay.
      *
-     * @param connector Talks to the target.
+     * @param connector The connector that resumes and cancels requests.
      * @param target The target that runs the request.
      * @param requestId The request's id.
-     * @param source The engine's stream.
-     * @param listener Is told of the stream's course.
+     * @param source The engine's event stream.
+     * @param listener The listener for the stream.
      */
     StreamRelay(
             TargetConnector connector,
@@ -83,32 +77,27 @@
 
     @Override
     protected Promise<ByteBuf> doGet() {
-        if (ended) {
+        if (terminated) {
             return Promise.of(null);
         }
         return Promises.timeout(Duration.ofMillis(STALL_MILLIS), source.get())
-                .then(this::received, this::broken);
+                .then(this::onReceived, this::onInterrupted);
     }
 
     @Override
     protected void onClosed(Exception exception) {
         source.closeEx(exception);
-        if (!ended) {
-            ended = true;
+        if (!terminated) {
+            terminated = true;
             connector.cancel(target, requestId);
-            listener.left();
+            listener.disconnected();
         }
     }
 
-    /**
-     * Passes on what arrived.
-     *
-     * @param buffer The bytes or {@code null} if the connection ended.
-     * @return The next whole events.
-     */
-    private Promise<ByteBuf> received(ByteBuf buffer) {
+    private Promise<ByteBuf> onReceived(ByteBuf buffer) {
         if (buffer == null) {
-            return broken(new IllegalStateException("The stream ended early."));
+            return onInterrupted(
+                    new IllegalStateException("The stream ended without its end marker."));
         }
         EventBatch batch = splitter.receive(buffer.asArray());
         if (batch.bytes().isEmpty()) {
@@ -118,23 +107,18 @@
         lastId = batch.lastId().or(() -> lastId);
         listener.events(batch.count());
         if (batch.ended()) {
-            ended = true;
+            terminated = true;
             source.close();
-            listener.ended();
+            listener.completed();
         }
         return Promise.of(ByteBuf.wrapForReading(batch.bytes().array()));
     }
 
-    /**
-     * Resumes a broken stream, or ends it with an error event.
-     *
-     * @param cause Why it broke.
-     * @return The next whole events.
-     */
-    private Promise<ByteBuf> broken(Exception cause) {
+    /** Resumes an interrupted stream, or ends it with an error event. */
+    private Promise<ByteBuf> onInterrupted(Exception cause) {
         splitter.reset();
         source.closeEx(cause);
-        if (isClosed() || ended) {
+        if (isClosed() || terminated) {
             return Promise.ofException(cause);
         }
         if (lastId.isEmpty() || resumes >= MAX_RESUMES) {
@@ -144,39 +128,30 @@
         listener.resumed(lastId.get());
         return Promises.delay(Duration.ofMillis(RESUME_DELAY_MILLIS * resumes))
                 .then(() -> connector.resume(target, requestId, lastId.get()))
-                .then(this::resumed, this::broken);
+                .then(this::onResumed, this::onInterrupted);
     }
 
-    /**
-     * Goes on with a resumed stream.
-     *
-     * @param answer The beginning of the rest.
-     * @return The next whole events.
-     */
-    private Promise<ByteBuf> resumed(TargetResponse answer) {
-        source = answer.body();
+    private Promise<ByteBuf> onResumed(TargetResponse response) {
+        source = response.body();
         if (isClosed()) {
             source.close();
-            return Promise.ofException(new IllegalStateException("The caller left."));
+            return Promise.ofException(new IllegalStateException("The caller disconnected."));
         }
-        if (answer.status() != 200) {
+        if (response.status() != 200) {
             resumes = MAX_RESUMES;
-            return broken(new IllegalStateException("The engine answered " + answer.status()));
+            return onInterrupted(
+                    new IllegalStateException(
+                            "The engine responded with status " + response.status()));
         }
         return doGet();
     }
 
-    /**
-     * Ends the stream with an error event.
-     *
-     * @param cause Why it broke.
-     * @return The error event.
-     */
+    /** Ends the stream and returns the error event for the caller. */
     private ByteBuf fail(Exception cause) {
-        ended = true;
+        terminated = true;
         MartenwellException failure =
                 MartenwellException.of(
-                        ErrorKind.STREAM_BROKEN, "The answer broke off and is not whole.", cause);
+                        ErrorKind.STREAM_BROKEN, "The stream broke off and is incomplete.", cause);
         listener.failed(failure);
         byte[] body = ErrorBody.of(failure, requestId);
         String event = "event: error\ndata: " + new String(body, StandardCharsets.UTF_8) + "\n\n";
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -15,58 +15,53 @@
 import org.martenwell.target.LoadReport;
 import org.martenwell.target.TargetConnector;
 
-/** Watches the targets that this router keeps and tells the fleet which take new work. */
+/**
+ * Polls the targets that this router coordinates and informs the scheduler and the peers about
+ * which targets accept requests.
+ */
 public final class TargetMonitor implements TargetRefusalListener {
 
-    /** How many reports in a row a target may miss. */
-    private static final int MAX_MISSED = 3;
+    /** Number of consecutive failed polls after which a target counts as unavailable. */
+    private static final int MAX_MISSED_REPORTS = 3;
 
-    /** How many polls pass before a closed target is told again. */
-    private static final int REPEAT_POLLS = 4;
+    /** Number of polls after which the notice about an unavailable target is repeated. */
+    private static final int REPEAT_NOTICE_POLLS = 4;
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(TargetMonitor.class);
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Talks to targets. */
     private final TargetConnector connector;
 
-    /** Gives slots. */
     private final FleetScheduler scheduler;
 
-    /** Sends messages to peers. */
     private final MessageSender sender;
 
-    /** Which targets take new work. */
-    private final AcceptingTargets states = new AcceptingTargets();
+    private final AcceptingTargets acceptingTargets = new AcceptingTargets();
 
-    /** What the scheduler was told, by target. */
+    /** State that the scheduler last received, by target. */
     private final Map<String, Boolean> applied = new HashMap<>();
 
-    /** The reports missed in a row, by kept target. */
+    /** Number of consecutive failed polls, by coordinated target. */
     private final Map<String, Integer> missed = new HashMap<>();
 
-    /** What peers were told, by kept target. */
+    /** State that peers last received, by coordinated target. */
     private final Map<String, Boolean> announced = new HashMap<>();
 
-    /** The last reports, by kept target. */
+    /** Last load reports, by coordinated target. */
     private final Map<String, LoadReport> reports = new HashMap<>();
 
-    /** All targets. */
     private List<Target> targets = List.of();
 
-    /** The number of polls. */
     private long polls;
 
     /**
      * Creates a monitor without targets.
      *
-     * @param reactor The loop.
-     * @param connector Talks to targets.
-     * @param scheduler Gives slots.
-     * @param sender Sends messages to peers.
+     * @param reactor The event loop.
+     * @param connector The connector to targets.
+     * @param scheduler The scheduler to inform.
+     * @param sender The sender of messages to peers.
      */
     public TargetMonitor(
             NioReactor reactor,
@@ -80,138 +75,120 @@
     }
 
     /**
-     * Changes the targets.
+     * Replaces the targets.
      *
-     * @param all All targets.
+     * @param all All targets of the fleet.
      */
     public void targets(List<Target> all) {
         targets = List.copyOf(all);
         apply();
     }
 
-    /** Asks the kept targets for their load. To be called now and then. */
+    /** Requests the load of all coordinated targets. Called periodically. */
     public void poll() {
         polls++;
-        Set<String> kept = scheduler.coordinator().coordinatedTargets();
-        missed.keySet().retainAll(kept);
-        announced.keySet().retainAll(kept);
-        reports.keySet().retainAll(kept);
+        Set<String> coordinated = scheduler.coordinator().coordinatedTargets();
+        missed.keySet().retainAll(coordinated);
+        announced.keySet().retainAll(coordinated);
+        reports.keySet().retainAll(coordinated);
         for (Target target : targets) {
-            if (kept.contains(target.name())) {
+            if (coordinated.contains(target.name())) {
                 connector
                         .load(target)
-                        .whenResult(report -> reported(target, report))
-                        .whenException(exception -> missed(target));
+                        .whenResult(report -> onReport(target, report))
+                        .whenException(exception -> onMissedReport(target));
             }
         }
         apply();
     }
 
     /**
-     * Takes in the platform's list.
+     * Applies the platform's box list.
      *
-     * @param leaving The targets listed as leaving.
+     * @param leaving The names of the targets listed as leaving.
      */
     public void listed(Set<String> leaving) {
-        states.listed(new HashSet<>(leaving));
+        acceptingTargets.setLeaving(new HashSet<>(leaving));
         apply();
     }
 
     /**
-     * Takes in a peer's notice.
+     * Processes a peer's notice about a target.
      *
      * @param notice The notice.
      */
     public void received(TargetNotice notice) {
-        states.told(notice.target(), notice.open());
+        acceptingTargets.applyNotice(notice.target(), notice.open());
         apply();
     }
 
     @Override
     public void refused(Target target) {
-        states.refused(target.name(), reactor.currentTimeMillis());
+        acceptingTargets.recordRefusal(target.name(), reactor.currentTimeMillis());
         sender.broadcast(new TargetNotice(target.name(), false));
         announced.remove(target.name());
         apply();
     }
 
-    /**
-     * Takes in a target's report.
-     *
-     * @param target The target.
-     * @param report The report.
-     */
-    private void reported(Target target, LoadReport report) {
+    private void onReport(Target target, LoadReport report) {
         missed.put(target.name(), 0);
         reports.put(target.name(), report);
         announce(target.name(), !report.leaving());
     }
 
-    /**
-     * Notes that a target missed a report.
-     *
-     * @param target The target.
-     */
-    private void missed(Target target) {
-        if (missed.merge(target.name(), 1, Integer::sum) >= MAX_MISSED) {
+    private void onMissedReport(Target target) {
+        if (missed.merge(target.name(), 1, Integer::sum) >= MAX_MISSED_REPORTS) {
             announce(target.name(), false);
         }
     }
 
     /**
-     * Tells the fleet whether a target takes new work, if that is news or a reminder is due.
-     *
-     * @param target The target.
-     * @param open {@code true} if it does.
+     * Broadcasts whether a target accepts requests, if that has changed or the notice is due again.
      */
-    private void announce(String target, boolean open) {
-        Boolean before = announced.put(target, open);
-        boolean news = before == null || before != open;
-        if (news || (!open && polls % REPEAT_POLLS == 0)) {
-            sender.broadcast(new TargetNotice(target, open));
+    private void announce(String target, boolean accepting) {
+        Boolean before = announced.put(target, accepting);
+        boolean changed = before == null || before != accepting;
+        if (changed || (!accepting && polls % REPEAT_NOTICE_POLLS == 0)) {
+            sender.broadcast(new TargetNotice(target, accepting));
         }
-        states.told(target, open);
+        acceptingTargets.applyNotice(target, accepting);
         apply();
     }
 
-    /** Tells the scheduler which targets take new work. */
+    /** Informs the scheduler about the targets whose state has changed. */
     private void apply() {
         long now = reactor.currentTimeMillis();
         List<Target> changed = new ArrayList<>();
         for (Target target : targets) {
-            boolean open = states.open(target.name(), now);
-            if (applied.getOrDefault(target.name(), true) != open) {
-                applied.put(target.name(), open);
+            boolean accepting = acceptingTargets.acceptsRequests(target.name(), now);
+            if (applied.getOrDefault(target.name(), true) != accepting) {
+                applied.put(target.name(), accepting);
                 changed.add(target);
             }
         }
         for (Target target : changed) {
-            boolean open = applied.get(target.name());
+            boolean accepting = applied.get(target.name());
             LOGGER.info(
                     LogEvent.of("target")
                             .with("target", target.name())
-                            .with("open", open)
+                            .with("open", accepting)
                             .message());
-            scheduler.setAcceptsRequests(target.name(), open);
+            scheduler.setAcceptsRequests(target.name(), accepting);
         }
     }
 
-    /**
-     * Returns the last reports of kept targets.
-     *
-     * @return The reports by target.
-     */
+    /** {@return the last load reports of coordinated targets, by target name} */
     public Map<String, LoadReport> reports() {
         return Map.copyOf(reports);
     }
 
     /**
-     * Returns whether a target takes new work as far as known here.
+     * Returns whether a target accepts requests, as known to this router.
      *
-     * @param target The target.
-     * @return {@code true} if it does.
+     * @param target The target's name.
+     * @return {@code true} if it accepts requests.
      */
-    public boolean open(String target) {
-        return states.open(target, reactor.currentTimeMillis());
+    public boolean acceptsRequests(String target) {
+        return acceptingTargets.acceptsRequests(target, reactor.currentTimeMillis());
     }
 }
--- a/src/main/java/org/martenwell/router/TargetRefusalListener.java
+++ b/src/main/java/org/martenwell/router/TargetRefusalListener.java
@@ -2,12 +2,12 @@
 
 import org.martenwell.configuration.Target;
 
-/** Is told of signs that a target takes no new work. */
+/** Callback for targets that refuse requests. */
 @FunctionalInterface
 public interface TargetRefusalListener {
 
     /**
-     * Called when a target refused a request before it started.
+     * Called when a target refused a request before it ran.
      *
      * @param target The target.
      */
--- a/src/main/java/org/martenwell/router/Ticker.java
+++ b/src/main/java/org/martenwell/router/Ticker.java
@@ -2,29 +2,27 @@
 
 import io.activej.reactor.nio.NioReactor;
 
-/** Does things again and again until it is stopped. */
+/** Runs periodic tasks on the event loop. */
 public final class Ticker {
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** {@code true} once stopped. */
     private boolean stopped;
 
     /**
-     * Creates a ticker that does nothing.
+     * Creates a ticker without tasks.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      */
     public Ticker(NioReactor reactor) {
         this.reactor = reactor;
     }
 
     /**
-     * Does something now and then.
+     * Runs a task periodically until {@link #stop()}, first after one interval.
      *
-     * @param millis How often, in milliseconds.
-     * @param action The action.
+     * @param millis The time between the end of a run and the next run, in milliseconds.
+     * @param action The task.
      */
     public void every(long millis, Runnable action) {
         reactor.delayBackground(
@@ -37,7 +35,7 @@
                 });
     }
 
-    /** Stops all actions. */
+    /** Stops all tasks. A stopped ticker can't be restarted. */
     public void stop() {
         stopped = true;
     }
--- a/src/main/java/org/martenwell/router/package-info.java
+++ b/src/main/java/org/martenwell/router/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The router: the shell of loops, timers and sockets around the decisions of the other packages.
+ * Event loops, timers and network connections of a router. Decisions on scheduling, admission and
+ * membership are made in other packages.
  */
 package org.martenwell.router;
--- a/src/test/java/org/martenwell/once/ClaimLedgerTest.java
+++ b/src/test/java/org/martenwell/once/ClaimLedgerTest.java
@@ -19,7 +19,10 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Checks histories of concurrent claims by several routers: no key is ever granted twice. */
+/**
+ * Guards against two requests holding the claim of the same key when several routers claim
+ * concurrently and the platform fails calls or loses replies.
+ */
 class ClaimLedgerTest {
 
     private static final int ROUTERS = 3;
@@ -27,34 +30,35 @@
     private static final int CLAIMS = 60;
 
     @Property(tries = 40, seed = "1")
-    void testNoKeyIsGrantedTwiceWhateverFails(
+    void testNoKeyIsGrantedTwiceDespiteFailures(
             @ForAll @IntRange(max = 1_000_000) int seed,
-            @ForAll @IntRange(max = 30) int failing,
-            @ForAll @IntRange(max = 30) int losing) {
-        FakePlatform platform = new FakePlatform(seed, failing / 100.0, losing / 100.0, true);
+            @ForAll @IntRange(max = 30) int failureRate,
+            @ForAll @IntRange(max = 30) int lostReplyRate) {
+        FakePlatform platform =
+                new FakePlatform(seed, failureRate / 100.0, lostReplyRate / 100.0, true);
         History history = run(platform, seed);
-        assertThat(history.mostGrants()).isLessThanOrEqualTo(1);
+        assertThat(history.maxGrantsPerKey()).isLessThanOrEqualTo(1);
     }
 
     @Test
-    void testCheckerFindsALedgerWithoutItsFence() {
-        int most = 0;
+    void testDoubleGrantIsDetectedWithoutConditionalUpdates() {
+        int max = 0;
         for (int seed = 0; seed < 20; seed++) {
-            most = Math.max(most, run(new FakePlatform(seed, 0, 0, false), seed).mostGrants());
+            max = Math.max(max, run(new FakePlatform(seed, 0, 0, false), seed).maxGrantsPerKey());
         }
-        assertThat(most).isGreaterThan(1);
+        assertThat(max).isGreaterThan(1);
     }
 
     @Test
-    void testEveryKeyIsGrantedOnceOnASoundPlatform() {
+    void testEveryKeyIsGrantedOnceWithoutFailures() {
         History history = run(new FakePlatform(1, 0, 0, true), 1);
         assertThat(history.granted).hasSize(KEYS);
-        assertThat(history.mostGrants()).isEqualTo(1);
+        assertThat(history.maxGrantsPerKey()).isEqualTo(1);
         assertThat(history.failed).isZero();
     }
 
     @Test
-    void testManyClaimsShareOneWrite() {
+    void testConcurrentClaimsAreBatched() {
         Eventloop loop = loop();
         FakePlatform platform = new FakePlatform(1, 0, 0, true);
         LedgerShard shard = new LedgerShard("s", platform, loop::currentTimeMillis, new Random(1));
@@ -67,45 +71,45 @@
     }
 
     @Test
-    void testAnswerIsKeptAndReleaseFreesTheKey() {
-        LedgerClaims page = new LedgerClaims();
-        new ClaimOperation("k", "one", 5).apply(page);
-        new ReleaseOperation("k", "two").apply(page);
-        assertThat(page.find("k")).isPresent();
-        new ReleaseOperation("k", "one").apply(page);
-        assertThat(page.find("k")).isEmpty();
-        new ClaimOperation("k", "two", 5).apply(page);
+    void testResponseIsStoredAndReleaseRemovesClaim() {
+        LedgerClaims claims = new LedgerClaims();
+        new ClaimOperation("k", "one", 5).apply(claims);
+        new ReleaseOperation("k", "two").apply(claims);
+        assertThat(claims.find("k")).isPresent();
+        new ReleaseOperation("k", "one").apply(claims);
+        assertThat(claims.find("k")).isEmpty();
+        new ClaimOperation("k", "two", 5).apply(claims);
         new RecordResponseOperation("k", "two", new StoredResponse(200, "t", "Ym9keQ=="))
-                .apply(page);
-        new ReleaseOperation("k", "two").apply(page);
-        Claim claim = LedgerClaims.read(page.write()).find("k").orElseThrow();
+                .apply(claims);
+        new ReleaseOperation("k", "two").apply(claims);
+        Claim claim = LedgerClaims.read(claims.write()).find("k").orElseThrow();
         assertThat(claim.state()).isEqualTo(ClaimState.RAN);
         assertThat(claim.answer()).contains(new StoredResponse(200, "t", "Ym9keQ=="));
     }
 
     @Test
-    void testAnswerThatIsTooLargeIsNotKept() {
-        LedgerClaims page = new LedgerClaims();
-        new ClaimOperation("k", "one", 5).apply(page);
+    void testLargeResponseIsNotStored() {
+        LedgerClaims claims = new LedgerClaims();
+        new ClaimOperation("k", "one", 5).apply(claims);
         new RecordResponseOperation("k", "one", new StoredResponse(200, "t", "x".repeat(5_000)))
-                .apply(page);
-        assertThat(page.find("k").orElseThrow().answer()).isEmpty();
-        assertThat(page.find("k").orElseThrow().state()).isEqualTo(ClaimState.RAN);
+                .apply(claims);
+        assertThat(claims.find("k").orElseThrow().answer()).isEmpty();
+        assertThat(claims.find("k").orElseThrow().state()).isEqualTo(ClaimState.RAN);
     }
 
     @Test
-    void testKeyOutOfTheWindowIsRefusedInsteadOfForgotten() {
+    void testExpiredKeyIsRejected() {
         String key = Generators.timeBasedEpochGenerator().generate().toString();
-        long made = IdempotencyKey.of(key, System.currentTimeMillis()).millis();
-        assertThatThrownBy(() -> IdempotencyKey.of(key, made + IdempotencyKey.WINDOW_MILLIS + 1))
+        long millis = IdempotencyKey.of(key, System.currentTimeMillis()).millis();
+        assertThatThrownBy(() -> IdempotencyKey.of(key, millis + IdempotencyKey.WINDOW_MILLIS + 1))
                 .isInstanceOfSatisfying(
                         MartenwellException.class,
-                        refused -> assertThat(refused.kind()).isEqualTo(ErrorKind.KEY_EXPIRED));
-        assertThatThrownBy(() -> IdempotencyKey.of("not-a-key", made))
+                        exception -> assertThat(exception.kind()).isEqualTo(ErrorKind.KEY_EXPIRED));
+        assertThatThrownBy(() -> IdempotencyKey.of("not-a-key", millis))
                 .isInstanceOf(MartenwellException.class);
     }
 
-    /** Lets several routers claim few keys at once; some give their claim up and some record. */
+    /** Claims few keys many times through several routers and records the results. */
     private static History run(FakePlatform platform, long seed) {
         Eventloop loop = loop();
         Random random = new Random(seed);
@@ -121,7 +125,9 @@
             String request = "request" + index;
             loop.delay(
                     random.nextInt(60),
-                    () -> ledger.claim("o/s", key, request).subscribe(history.of(key, request)));
+                    () ->
+                            ledger.claim("o/s", key, request)
+                                    .subscribe(history.callback(key, request)));
         }
         loop.run();
         return history;
@@ -134,23 +140,23 @@
                 .build();
     }
 
-    /** Who was granted which key. */
+    /** Requests that were granted a claim, by key. */
     private static final class History {
 
         private final Map<String, List<String>> granted = new HashMap<>();
         private int failed;
 
-        private Callback<Optional<Claim>> of(IdempotencyKey key, String request) {
-            return (other, exception) -> {
+        private Callback<Optional<Claim>> callback(IdempotencyKey key, String request) {
+            return (existing, exception) -> {
                 if (exception != null) {
                     failed++;
-                } else if (other.isEmpty()) {
+                } else if (existing.isEmpty()) {
                     granted.computeIfAbsent(key.text(), any -> new ArrayList<>()).add(request);
                 }
             };
         }
 
-        private int mostGrants() {
+        private int maxGrantsPerKey() {
             return granted.values().stream().mapToInt(List::size).max().orElse(0);
         }
     }
--- a/src/test/java/org/martenwell/once/FakePlatform.java
+++ b/src/test/java/org/martenwell/once/FakePlatform.java
@@ -14,28 +14,33 @@
 import org.martenwell.objects.Platform;
 import org.martenwell.objects.StoredObject;
 
-/** Objects in memory behind calls that take time, fail, and lose replies after they took effect. */
+/**
+ * In-memory platform whose calls are delayed, fail at random or lose replies after taking effect.
+ */
 final class FakePlatform implements Platform {
 
     private final Map<String, StoredObject> objects = new HashMap<>();
     private final Random random;
-    private final double failing;
-    private final double losing;
-    private final boolean fenced;
+    private final double failureRate;
+    private final double lostReplyRate;
+    private final boolean conditional;
     private long version;
     private long writes;
 
-    /** Calls fail and replies get lost with these shares; without a fence, versions are ignored. */
-    FakePlatform(long seed, double failing, double losing, boolean fenced) {
+    /**
+     * The rates are between 0 and 1. If {@code conditional} is {@code false}, writes ignore the
+     * expected version.
+     */
+    FakePlatform(long seed, double failureRate, double lostReplyRate, boolean conditional) {
         this.random = new Random(seed);
-        this.failing = failing;
-        this.losing = losing;
-        this.fenced = fenced;
+        this.failureRate = failureRate;
+        this.lostReplyRate = lostReplyRate;
+        this.conditional = conditional;
     }
 
     @Override
     public Promise<Optional<StoredObject>> read(String kind, String name) {
-        return later().map(any -> Optional.ofNullable(objects.get(name)));
+        return afterDelay().map(any -> Optional.ofNullable(objects.get(name)));
     }
 
     @Override
@@ -49,13 +54,14 @@
     }
 
     private Promise<StoredObject> write(String kind, String name, byte[] value, long expected) {
-        return later().map(
+        return afterDelay()
+                .map(
                         any -> {
                             long current =
                                     Optional.ofNullable(objects.get(name))
                                             .map(StoredObject::version)
                                             .orElse(0L);
-                            if (fenced && current != expected) {
+                            if (conditional && current != expected) {
                                 throw MartenwellException.of(ErrorKind.VERSION_CONFLICT, "");
                             }
                             version++;
@@ -64,12 +70,16 @@
                             objects.put(name, stored);
                             return stored;
                         })
-                .then(stored -> random.nextDouble() < losing ? failed() : Promise.of(stored));
+                .then(
+                        stored ->
+                                random.nextDouble() < lostReplyRate
+                                        ? failed()
+                                        : Promise.of(stored));
     }
 
-    private Promise<Void> later() {
+    private Promise<Void> afterDelay() {
         return Promises.delay(Duration.ofMillis(random.nextInt(4)))
-                .then(() -> random.nextDouble() < failing ? failed() : Promise.complete());
+                .then(() -> random.nextDouble() < failureRate ? failed() : Promise.complete());
     }
 
     private static <T> Promise<T> failed() {
--- a/src/test/java/org/martenwell/router/StreamRelayTest.java
+++ b/src/test/java/org/martenwell/router/StreamRelayTest.java
@@ -33,43 +33,44 @@
 
     private final Eventloop loop = Eventloop.builder().withCurrentThread().build();
     private final List<String> log = new ArrayList<>();
-    private final Deque<ChannelSupplier<ByteBuf>> rest = new ArrayDeque<>();
+    private final Deque<ChannelSupplier<ByteBuf>> resumedStreams = new ArrayDeque<>();
 
     @Test
-    void testWholeStreamPassesUnchanged() {
+    void testCompleteStreamIsRelayedUnchanged() {
         String stream = event(0) + event(1) + "data: [DONE]\n\n";
-        assertThat(read(relay(pieces(stream.substring(0, 7), stream.substring(7)))))
+        assertThat(read(relay(chunks(stream.substring(0, 7), stream.substring(7)))))
                 .isEqualTo(stream);
-        assertThat(log).containsExactly("events 2", "ended");
+        assertThat(log).containsExactly("events 2", "completed");
     }
 
     @Test
-    void testBrokenStreamGoesOnBehindTheLastWholeEvent() {
-        rest.add(pieces(event(1) + "data: [DONE]\n\n"));
-        String text = read(relay(broken(event(0) + "id: 1\nda")));
+    void testInterruptedStreamResumesAfterLastCompleteEvent() {
+        resumedStreams.add(chunks(event(1) + "data: [DONE]\n\n"));
+        String text = read(relay(interrupted(event(0) + "id: 1\nda")));
         assertThat(text).isEqualTo(event(0) + event(1) + "data: [DONE]\n\n");
-        assertThat(log).containsExactly("events 1", "resumed 0", "resume 0", "events 1", "ended");
+        assertThat(log)
+                .containsExactly("events 1", "resumed 0", "resume 0", "events 1", "completed");
     }
 
     @Test
-    void testStreamThatEndsEarlyIsNeverTakenForWhole() {
-        String text = read(relay(pieces("id: 0\nda")));
+    void testTruncatedStreamEndsWithErrorEvent() {
+        String text = read(relay(chunks("id: 0\nda")));
         assertThat(text).contains("stream_broken").doesNotContain("[DONE]");
         assertThat(log).containsExactly("failed");
     }
 
     @Test
-    void testResumingIsGivenUp() {
-        for (int time = 0; time < 5; time++) {
-            rest.add(broken(""));
+    void testNumberOfResumesIsLimited() {
+        for (int attempt = 0; attempt < 5; attempt++) {
+            resumedStreams.add(interrupted(""));
         }
-        String text = read(relay(broken(event(0))));
+        String text = read(relay(interrupted(event(0))));
         assertThat(text).startsWith(event(0)).contains("stream_broken");
-        assertThat(rest).hasSize(2);
+        assertThat(resumedStreams).hasSize(2);
     }
 
     @Test
-    void testNothingIsReadUntilTheCallerTakesIt() {
+    void testSourceIsReadOnDemandOnly() {
         AtomicInteger read = new AtomicInteger();
         StreamRelay relay =
                 relay(
@@ -86,13 +87,13 @@
     }
 
     @Test
-    void testCallerThatLeavesCancelsTheRequest() {
-        StreamRelay relay = relay(pieces(event(0), event(1)));
+    void testDisconnectOfCallerCancelsRequest() {
+        StreamRelay relay = relay(chunks(event(0), event(1)));
         relay.get();
         loop.run();
-        relay.closeEx(new IOException("left"));
+        relay.closeEx(new IOException("disconnected"));
         loop.run();
-        assertThat(log).containsExactly("events 1", "cancel", "left");
+        assertThat(log).containsExactly("events 1", "cancel", "disconnected");
     }
 
     private StreamRelay relay(ChannelSupplier<ByteBuf> source) {
@@ -120,17 +121,17 @@
         return ByteBuf.wrapForReading(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static ChannelSupplier<ByteBuf> pieces(String... texts) {
+    private static ChannelSupplier<ByteBuf> chunks(String... texts) {
         return ChannelSuppliers.ofStream(List.of(texts).stream().map(StreamRelayTest::buffer));
     }
 
-    private static ChannelSupplier<ByteBuf> broken(String text) {
+    private static ChannelSupplier<ByteBuf> interrupted(String text) {
         return ChannelSuppliers.concat(
-                pieces(text.isEmpty() ? ": x\n\n" : text),
+                chunks(text.isEmpty() ? ": x\n\n" : text),
                 ChannelSuppliers.ofException(new IOException("cut")));
     }
 
-    /** Gives the prepared rests of streams. */
+    /** Connector that resumes streams with prepared ones. */
     private final class FakeConnector implements TargetConnector {
 
         @Override
@@ -141,7 +142,7 @@
         @Override
         public Promise<TargetResponse> resume(Target target, String requestId, String lastEvent) {
             log.add("resume " + lastEvent);
-            return Promise.of(new TargetResponse(200, List.of(), rest.poll()));
+            return Promise.of(new TargetResponse(200, List.of(), resumedStreams.poll()));
         }
 
         @Override
@@ -166,7 +167,7 @@
         }
     }
 
-    /** Writes down what it is told. */
+    /** Records the callbacks in the log. */
     private final class Listener implements StreamListener {
 
         @Override
@@ -180,13 +181,13 @@
         }
 
         @Override
-        public void ended() {
-            log.add("ended");
+        public void completed() {
+            log.add("completed");
         }
 
         @Override
-        public void left() {
-            log.add("left");
+        public void disconnected() {
+            log.add("disconnected");
         }
 
         @Override
