--- a/src/main/java/org/martenwell/router/Readiness.java
+++ b/src/main/java/org/martenwell/router/Readiness.java
@@ -37,13 +37,13 @@
     /**
      * Updates the time of the last contact.
      *
-     * @param platformAnsweredAt The time of the platform's last response.
+     * @param platformContactAt The time of the last successful call to the platform.
      * @param listed The number of other routers in the platform's box list.
      * @param reachable The number of these that are members now.
      * @param now The current time in milliseconds.
      */
-    public void contacts(long platformAnsweredAt, int listed, int reachable, long now) {
-        lastContactAt = Math.max(lastContactAt, platformAnsweredAt);
+    public void contacts(long platformContactAt, int listed, int reachable, long now) {
+        lastContactAt = Math.max(lastContactAt, platformContactAt);
         if (reachable > 0 && reachable * 2 >= listed) {
             lastContactAt = now;
         }
--- a/src/main/java/org/martenwell/router/RoutedAnswer.java
+++ b/src/main/java/org/martenwell/router/RoutedAnswer.java
@@ -12,12 +12,12 @@
  * @param status The HTTP status.
  * @param headers The header fields for the caller.
  * @param body The body, in chunks.
- * @param whole {@code true} if the complete body was received from the target.
+ * @param complete {@code true} if the complete body was received from the target.
  * @param outcome The known outcome of the request.
  */
 public record RoutedAnswer(
         int status,
         List<HeaderField> headers,
         ChannelSupplier<ByteBuf> body,
-        boolean whole,
+        boolean complete,
         Outcome outcome) {}
