--- a/src/main/java/org/martenwell/caller/CallerResponses.java
+++ b/src/main/java/org/martenwell/caller/CallerResponses.java
@@ -9,7 +9,7 @@
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
 import org.martenwell.router.ErrorBody;
-import org.martenwell.router.RoutedAnswer;
+import org.martenwell.router.RoutedResponse;
 
 /** Builds the responses that callers get. */
 final class CallerResponses {
@@ -24,7 +24,7 @@
      * @param id The request's id.
      * @return The response.
      */
-    static HttpResponse of(RoutedAnswer answer, String id) {
+    static HttpResponse of(RoutedResponse answer, String id) {
         HttpResponse.Builder builder = HttpResponse.ofCode(answer.status());
         for (HeaderField field : answer.headers()) {
             builder.withHeader(HttpHeaders.of(field.name()), field.value());
--- a/src/main/java/org/martenwell/caller/CallerServlet.java
+++ b/src/main/java/org/martenwell/caller/CallerServlet.java
@@ -8,7 +8,7 @@
 import io.activej.promise.Promise;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.router.RoutedAnswer;
+import org.martenwell.router.RoutedResponse;
 import org.martenwell.router.RouterMetrics;
 
 /** Answers callers' requests: checks them, asks the policy, and passes admitted ones on. */
@@ -108,7 +108,7 @@
      * @param id The request's id.
      * @return The response.
      */
-    private HttpResponse answered(RoutedAnswer answer, String id) {
+    private HttpResponse answered(RoutedResponse answer, String id) {
         metrics.answered();
         return CallerResponses.of(answer, id);
     }
--- a/src/main/java/org/martenwell/caller/ModelEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ModelEndpoint.java
@@ -17,7 +17,7 @@
 import org.martenwell.http.HeaderFields;
 import org.martenwell.json.Json;
 import org.martenwell.router.RequestDispatcher;
-import org.martenwell.router.RoutedAnswer;
+import org.martenwell.router.RoutedResponse;
 import org.martenwell.router.RoutedRequest;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.target.TargetRequest;
@@ -61,7 +61,7 @@
      * @param id The request's id.
      * @return The answer.
      */
-    Promise<RoutedAnswer> serve(HttpRequest request, String id) {
+    Promise<RoutedResponse> serve(HttpRequest request, String id) {
         ActiveConfiguration active = admission.configuration();
         Organisation organisation = admission.authenticate(active, request);
         return request.loadBody(maxBodyBytes)
@@ -102,7 +102,7 @@
      * @param id The request's id.
      * @return The answer.
      */
-    private Promise<RoutedAnswer> dispatch(
+    private Promise<RoutedResponse> dispatch(
             ActiveConfiguration active,
             Organisation organisation,
             HttpRequest request,
--- a/src/main/java/org/martenwell/caller/ServiceEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ServiceEndpoint.java
@@ -15,7 +15,7 @@
 import org.martenwell.once.IdempotencyKey;
 import org.martenwell.router.OnceGuard;
 import org.martenwell.router.RequestDispatcher;
-import org.martenwell.router.RoutedAnswer;
+import org.martenwell.router.RoutedResponse;
 import org.martenwell.router.RoutedRequest;
 import org.martenwell.target.TargetRequest;
 
@@ -72,7 +72,7 @@
      * @param id The request's id.
      * @return The answer.
      */
-    Promise<RoutedAnswer> serve(HttpRequest request, String id) {
+    Promise<RoutedResponse> serve(HttpRequest request, String id) {
         ActiveConfiguration active = admission.configuration();
         Organisation organisation = admission.authenticate(active, request);
         String rest = request.getPathAndQuery().substring(PREFIX.length());
@@ -118,7 +118,7 @@
      * @param id The request's id.
      * @return The answer.
      */
-    private Promise<RoutedAnswer> dispatch(
+    private Promise<RoutedResponse> dispatch(
             ActiveConfiguration active,
             Organisation organisation,
             Service service,
--- a/src/main/java/org/martenwell/router/OnceGuard.java
+++ b/src/main/java/org/martenwell/router/OnceGuard.java
@@ -57,7 +57,7 @@
      * @return The response. Fails with {@link ErrorKind#CLAIM_IN_FLIGHT}, {@link
      *     ErrorKind#ALREADY_RAN} or {@link ErrorKind#CLAIM_UNAVAILABLE}, or as the dispatcher does.
      */
-    public Promise<RoutedAnswer> dispatch(RoutedRequest request, IdempotencyKey key) {
+    public Promise<RoutedResponse> dispatch(RoutedRequest request, IdempotencyKey key) {
         String scope = request.organisation().name() + "/" + request.pool().name();
         String id = request.message().id();
         return ledger.claim(scope, key, id)
@@ -69,7 +69,7 @@
                         exception -> rejectUnclaimed(scope, key, id, exception));
     }
 
-    private Promise<RoutedAnswer> runClaimed(
+    private Promise<RoutedResponse> runClaimed(
             RoutedRequest request, String scope, IdempotencyKey key) {
         String id = request.message().id();
         return dispatcher
@@ -89,8 +89,8 @@
      * Stores a complete response in the ledger. The response is passed on without waiting for the
      * write.
      */
-    private Promise<RoutedAnswer> recordResponse(
-            RoutedAnswer response, String scope, IdempotencyKey key, String id) {
+    private Promise<RoutedResponse> recordResponse(
+            RoutedResponse response, String scope, IdempotencyKey key, String id) {
         return response.body()
                 .get()
                 .map(
@@ -106,7 +106,7 @@
                                             id,
                                             new StoredResponse(response.status(), type, encoded))
                                     .whenException(exception -> logUnrecorded(id));
-                            return new RoutedAnswer(
+                            return new RoutedResponse(
                                     response.status(),
                                     response.headers(),
                                     ChannelSuppliers.ofValue(ByteBuf.wrapForReading(body)),
@@ -123,7 +123,7 @@
         LOGGER.warn(LogEvent.of("ledger-answer-lost").with("request", id).message());
     }
 
-    private static Promise<RoutedAnswer> respondFromClaim(Claim claim) {
+    private static Promise<RoutedResponse> respondFromClaim(Claim claim) {
         Optional<StoredResponse> stored = claim.answer();
         if (stored.isPresent()) {
             return Promise.of(toResponse(stored.get()));
@@ -142,9 +142,9 @@
                 });
     }
 
-    private static RoutedAnswer toResponse(StoredResponse stored) {
+    private static RoutedResponse toResponse(StoredResponse stored) {
         byte[] body = Base64.getDecoder().decode(stored.body());
-        return new RoutedAnswer(
+        return new RoutedResponse(
                 stored.status(),
                 List.of(
                         new HeaderField("Content-Type", stored.contentType()),
@@ -158,7 +158,7 @@
      * Rejects a request whose claim could not be stored. As the write may have taken effect, the
      * claim is also released.
      */
-    private Promise<RoutedAnswer> rejectUnclaimed(
+    private Promise<RoutedResponse> rejectUnclaimed(
             String scope, IdempotencyKey key, String id, Exception exception) {
         ledger.release(scope, key, id);
         return Promise.ofException(
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -96,7 +96,7 @@
      * @return The response. Fails with a {@link MartenwellException} whose outcome covers all
      *     attempts.
      */
-    public Promise<RoutedAnswer> dispatch(RoutedRequest request) {
+    public Promise<RoutedResponse> dispatch(RoutedRequest request) {
         budget.countFresh();
         return attempt(new RequestProgress(request));
     }
@@ -111,7 +111,7 @@
         return budget;
     }
 
-    private Promise<RoutedAnswer> attempt(RequestProgress progress) {
+    private Promise<RoutedResponse> attempt(RequestProgress progress) {
         progress.startAttempt();
         return assign(progress)
                 .then(assignment -> send(progress, assignment))
@@ -170,7 +170,7 @@
                 request.message().body().length);
     }
 
-    private Promise<RoutedAnswer> send(RequestProgress progress, Assignment assignment) {
+    private Promise<RoutedResponse> send(RequestProgress progress, Assignment assignment) {
         RoutedRequest request = progress.request();
         Slot slot = assignment.slot();
         log.routed(progress, assignment);
@@ -202,7 +202,7 @@
         }
     }
 
-    private Promise<RoutedAnswer> onResponse(
+    private Promise<RoutedResponse> onResponse(
             RequestProgress progress, Slot slot, TargetResponse response) {
         progress.markResponding();
         recordPromptService(progress.request());
@@ -221,7 +221,7 @@
         }
     }
 
-    private RoutedAnswer relayStream(RequestProgress progress, Slot slot, TargetResponse response) {
+    private RoutedResponse relayStream(RequestProgress progress, Slot slot, TargetResponse response) {
         StreamRelay relay =
                 new StreamRelay(
                         connector,
@@ -229,7 +229,7 @@
                         progress.request().message().id(),
                         response.body(),
                         new StreamAccounting(progress, slot, scheduler, log, metrics));
-        return new RoutedAnswer(
+        return new RoutedResponse(
                 response.status(),
                 HeaderFields.forCaller(response.headers()),
                 relay,
@@ -240,7 +240,7 @@
     /**
      * Buffers a response, so that a failed one can be retried and no caller gets a truncated one.
      */
-    private Promise<RoutedAnswer> bufferResponse(
+    private Promise<RoutedResponse> bufferResponse(
             RequestProgress progress, Slot slot, TargetResponse response) {
         RoutedRequest request = progress.request();
         long startedAt = reactor.currentTimeMillis();
@@ -291,9 +291,9 @@
         }
     }
 
-    private static RoutedAnswer bufferedResponse(TargetResponse response, byte[] body) {
+    private static RoutedResponse bufferedResponse(TargetResponse response, byte[] body) {
         List<HeaderField> headers = HeaderFields.forCaller(response.headers());
-        return new RoutedAnswer(
+        return new RoutedResponse(
                 response.status(),
                 headers,
                 ChannelSuppliers.ofValue(ByteBuf.wrapForReading(body)),
@@ -305,7 +305,7 @@
      * Retries a failed attempt if that is safe and within the budget, or fails the request with its
      * overall outcome.
      */
-    private Promise<RoutedAnswer> retryOrFail(RequestProgress progress, Exception exception) {
+    private Promise<RoutedResponse> retryOrFail(RequestProgress progress, Exception exception) {
         MartenwellException failure =
                 exception instanceof MartenwellException known
                         ? known
--- a/src/main/java/org/martenwell/router/RoutedAnswer.java
+++ b/src/main/java/org/martenwell/router/RoutedResponse.java
@@ -15,7 +15,7 @@
  * @param complete {@code true} if the complete body was received from the target.
  * @param outcome The known outcome of the request.
  */
-public record RoutedAnswer(
+public record RoutedResponse(
         int status,
         List<HeaderField> headers,
         ChannelSupplier<ByteBuf> body,
