--- a/src/main/java/org/martenwell/caller/ServiceEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ServiceEndpoint.java
@@ -13,7 +13,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderFields;
 import org.martenwell.once.IdempotencyKey;
-import org.martenwell.router.OnceGuard;
+import org.martenwell.router.IdempotencyGuard;
 import org.martenwell.router.RequestDispatcher;
 import org.martenwell.router.RoutedResponse;
 import org.martenwell.router.RoutedRequest;
@@ -35,7 +35,7 @@
     private final RequestDispatcher dispatcher;
 
     /** Lets requests with a key run at most once. */
-    private final OnceGuard guard;
+    private final IdempotencyGuard guard;
 
     /** Gives the time. */
     private final LongSupplier clock;
@@ -55,7 +55,7 @@
     public ServiceEndpoint(
             RequestAdmission admission,
             RequestDispatcher dispatcher,
-            OnceGuard guard,
+            IdempotencyGuard guard,
             LongSupplier clock,
             int maxBodyBytes) {
         this.guard = guard;
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -55,7 +55,7 @@
 import org.martenwell.router.DrainReport;
 import org.martenwell.router.FleetScheduler;
 import org.martenwell.router.MessageSender;
-import org.martenwell.router.OnceGuard;
+import org.martenwell.router.IdempotencyGuard;
 import org.martenwell.router.PlatformFollower;
 import org.martenwell.router.Readiness;
 import org.martenwell.router.RequestDispatcher;
@@ -379,7 +379,7 @@
                         new ServiceEndpoint(
                                 admission,
                                 dispatcher,
-                                new OnceGuard(ledger, dispatcher),
+                                new IdempotencyGuard(ledger, dispatcher),
                                 reactor::currentTimeMillis,
                                 limits.maxBodyBytes()),
                         metrics);
--- a/src/main/java/org/martenwell/router/OnceGuard.java
+++ b/src/main/java/org/martenwell/router/IdempotencyGuard.java
@@ -23,7 +23,7 @@
  * Runs each request with an idempotency key at most once over the fleet. A repeated request gets
  * the stored response of the first.
  */
-public final class OnceGuard {
+public final class IdempotencyGuard {
 
     /** Response header that marks a stored response. */
     private static final String REPEATED_HEADER = "X-Repeated";
@@ -31,7 +31,7 @@
     /** Delay after which a caller may repeat a request whose claim is undecided. */
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    private static final Logger LOGGER = LogManager.getLogger(OnceGuard.class);
+    private static final Logger LOGGER = LogManager.getLogger(IdempotencyGuard.class);
 
     private final ClaimLedger ledger;
 
@@ -43,7 +43,7 @@
      * @param ledger The claims of idempotency keys.
      * @param dispatcher The dispatcher that runs claimed requests.
      */
-    public OnceGuard(ClaimLedger ledger, RequestDispatcher dispatcher) {
+    public IdempotencyGuard(ClaimLedger ledger, RequestDispatcher dispatcher) {
         this.ledger = ledger;
         this.dispatcher = dispatcher;
     }
