--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -61,7 +61,7 @@
 import org.martenwell.router.RequestDispatcher;
 import org.martenwell.router.RouterMetrics;
 import org.martenwell.router.RouterStatus;
-import org.martenwell.router.RouterTimes;
+import org.martenwell.router.RouterIntervals;
 import org.martenwell.router.TargetMonitor;
 import org.martenwell.router.Ticker;
 import org.martenwell.schedule.CoordinatorReference;
@@ -397,7 +397,7 @@
 
     /** Starts what is done now and then. */
     private void startTicking() {
-        RouterTimes times = RouterTimes.DEFAULTS;
+        RouterIntervals times = RouterIntervals.DEFAULTS;
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis(), this::beat);
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis() / 2, this::expire);
         ticker.every(times.countersMillis(), scheduler::exchangeCounters);
--- a/src/main/java/org/martenwell/router/RouterTimes.java
+++ b/src/main/java/org/martenwell/router/RouterIntervals.java
@@ -9,9 +9,9 @@
  * @param meterMillis The interval at which service is recorded by elapsed time, in milliseconds.
  * @param pollMillis The interval between load polls of coordinated targets, in milliseconds.
  */
-public record RouterTimes(
+public record RouterIntervals(
         long countersMillis, long maintainMillis, long meterMillis, long pollMillis) {
 
     /** The default intervals. */
-    public static final RouterTimes DEFAULTS = new RouterTimes(500, 1_000, 250, 500);
+    public static final RouterIntervals DEFAULTS = new RouterIntervals(500, 1_000, 250, 500);
 }
