--- a/src/main/java/org/martenwell/router/PlatformFollower.java
+++ b/src/main/java/org/martenwell/router/PlatformFollower.java
@@ -45,7 +45,7 @@
     private final Random random;
 
     /** Time of the last successful call, or a time long before the start. */
-    private long answeredAt = Long.MIN_VALUE / 2;
+    private long lastResponseAt = Long.MIN_VALUE / 2;
 
     private long watchDelayMillis = INITIAL_DELAY_MILLIS;
 
@@ -95,8 +95,8 @@
      * {@return the time of the last successful call in milliseconds since 1970, or a time long
      * before the start if there was none}
      */
-    public long answeredAt() {
-        return answeredAt;
+    public long lastResponseAt() {
+        return lastResponseAt;
     }
 
     /** Reads the configuration until a read succeeds, then starts to watch it. */
@@ -154,7 +154,7 @@
     }
 
     private void recordContact() {
-        answeredAt = reactor.currentTimeMillis();
+        lastResponseAt = reactor.currentTimeMillis();
     }
 
     private void offer(StoredObject object) {
