--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -448,7 +448,7 @@
         MembershipChange change = membership.expire(now);
         Set<String> listed = membership.listedNames();
         long heard = listed.stream().filter(name -> membership.find(name).isPresent()).count();
-        readiness.contacts(follower.lastResponseAt(), listed.size(), (int) heard, now);
+        readiness.updateContact(follower.lastResponseAt(), listed.size(), (int) heard, now);
         if (change.any()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
             scheduler.removed(change.removed());
--- a/src/main/java/org/martenwell/router/Readiness.java
+++ b/src/main/java/org/martenwell/router/Readiness.java
@@ -42,7 +42,7 @@
      * @param reachable The number of these that are members now.
      * @param now The current time in milliseconds.
      */
-    public void contacts(long platformContactAt, int listed, int reachable, long now) {
+    public void updateContact(long platformContactAt, int listed, int reachable, long now) {
         lastContactAt = Math.max(lastContactAt, platformContactAt);
         if (reachable > 0 && reachable * 2 >= listed) {
             lastContactAt = now;
