--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -402,7 +402,7 @@
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis() / 2, this::expire);
         ticker.every(times.countersMillis(), scheduler::exchangeCounters);
         ticker.every(times.maintainMillis(), scheduler::maintain);
-        ticker.every(times.meterMillis(), dispatcher::tick);
+        ticker.every(times.meterMillis(), dispatcher::recordElapsedService);
         ticker.every(times.pollMillis(), monitor::poll);
         settings.seedPeers().ifPresent(this::seed);
     }
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -102,7 +102,7 @@
     }
 
     /** Records the service of running requests by elapsed time. Called periodically. */
-    public void tick() {
+    public void recordElapsedService() {
         meters.update(reactor.currentTimeMillis());
     }
 
