--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -577,7 +577,7 @@
         metrics.gauge("peer_messages_sent", () -> network.traffic().messagesSent());
         metrics.gauge("peer_bytes_received", () -> network.traffic().bytesReceived());
         metrics.gauge("peer_frames_refused", () -> network.traffic().badFrames());
-        metrics.gauge("platform_calls", platform::calls);
+        metrics.gauge("platform_calls", platform::callCount);
         metrics.gauge("retries", () -> dispatcher.retryBudget().retries());
     }
 }
--- a/src/main/java/org/martenwell/objects/HttpPlatform.java
+++ b/src/main/java/org/martenwell/objects/HttpPlatform.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public long calls() {
+    public long callCount() {
         return callCount;
     }
 
--- a/src/main/java/org/martenwell/objects/Platform.java
+++ b/src/main/java/org/martenwell/objects/Platform.java
@@ -61,5 +61,5 @@
     Promise<List<Box>> boxes();
 
     /** {@return the number of calls made since the start, including failed ones} */
-    long calls();
+    long callCount();
 }
--- a/src/test/java/org/martenwell/once/ClaimLedgerTest.java
+++ b/src/test/java/org/martenwell/once/ClaimLedgerTest.java
@@ -67,7 +67,7 @@
             loop.post(() -> shard.change(new ClaimOperation("k" + number, "r" + number, 0L)));
         }
         loop.run();
-        assertThat(platform.calls()).isLessThan(50);
+        assertThat(platform.callCount()).isLessThan(50);
     }
 
     @Test
--- a/src/test/java/org/martenwell/once/FakePlatform.java
+++ b/src/test/java/org/martenwell/once/FakePlatform.java
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public long calls() {
+    public long callCount() {
         return writes;
     }
 }
