--- a/src/main/java/org/martenwell/caller/ModelEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ModelEndpoint.java
@@ -17,8 +17,8 @@
 import org.martenwell.http.HeaderFields;
 import org.martenwell.json.Json;
 import org.martenwell.router.RequestDispatcher;
-import org.martenwell.router.RoutedResponse;
 import org.martenwell.router.RoutedRequest;
+import org.martenwell.router.RoutedResponse;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.target.TargetRequest;
 
--- a/src/main/java/org/martenwell/caller/ServiceEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ServiceEndpoint.java
@@ -15,8 +15,8 @@
 import org.martenwell.once.IdempotencyKey;
 import org.martenwell.router.IdempotencyGuard;
 import org.martenwell.router.RequestDispatcher;
-import org.martenwell.router.RoutedResponse;
 import org.martenwell.router.RoutedRequest;
+import org.martenwell.router.RoutedResponse;
 import org.martenwell.target.TargetRequest;
 
 /** Answers {@code /services/NAME/…}. */
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -221,7 +221,8 @@
         }
     }
 
-    private RoutedResponse relayStream(RequestProgress progress, Slot slot, TargetResponse response) {
+    private RoutedResponse relayStream(
+            RequestProgress progress, Slot slot, TargetResponse response) {
         StreamRelay relay =
                 new StreamRelay(
                         connector,
