--- a/src/main/java/org/martenwell/caller/ServiceEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ServiceEndpoint.java
@@ -13,10 +13,10 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderFields;
 import org.martenwell.once.IdempotencyKey;
-import org.martenwell.router.OnceGuard;
+import org.martenwell.router.IdempotencyGuard;
 import org.martenwell.router.RequestDispatcher;
-import org.martenwell.router.RoutedAnswer;
 import org.martenwell.router.RoutedRequest;
+import org.martenwell.router.RoutedResponse;
 import org.martenwell.target.TargetRequest;
 
 /** Answers {@code /services/NAME/…}. */
@@ -35,7 +35,7 @@
     private final RequestDispatcher dispatcher;
 
     /** Lets requests with a key run at most once. */
-    private final OnceGuard guard;
+    private final IdempotencyGuard guard;
 
     /** Gives the time. */
     private final LongSupplier clock;
@@ -55,7 +55,7 @@
     public ServiceEndpoint(
             RequestAdmission admission,
             RequestDispatcher dispatcher,
-            OnceGuard guard,
+            IdempotencyGuard guard,
             LongSupplier clock,
             int maxBodyBytes) {
         this.guard = guard;
@@ -72,7 +72,7 @@
      * @param id The request's id.
      * @return The answer.
      */
-    Promise<RoutedAnswer> serve(HttpRequest request, String id) {
+    Promise<RoutedResponse> serve(HttpRequest request, String id) {
         ActiveConfiguration active = admission.configuration();
         Organisation organisation = admission.authenticate(active, request);
         String rest = request.getPathAndQuery().substring(PREFIX.length());
@@ -118,7 +118,7 @@
      * @param id The request's id.
      * @return The answer.
      */
-    private Promise<RoutedAnswer> dispatch(
+    private Promise<RoutedResponse> dispatch(
             ActiveConfiguration active,
             Organisation organisation,
             Service service,
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -54,14 +54,14 @@
 import org.martenwell.router.ConfigurationStore;
 import org.martenwell.router.DrainReport;
 import org.martenwell.router.FleetScheduler;
+import org.martenwell.router.IdempotencyGuard;
 import org.martenwell.router.MessageSender;
-import org.martenwell.router.OnceGuard;
 import org.martenwell.router.PlatformFollower;
 import org.martenwell.router.Readiness;
 import org.martenwell.router.RequestDispatcher;
+import org.martenwell.router.RouterIntervals;
 import org.martenwell.router.RouterMetrics;
 import org.martenwell.router.RouterStatus;
-import org.martenwell.router.RouterTimes;
 import org.martenwell.router.TargetMonitor;
 import org.martenwell.router.Ticker;
 import org.martenwell.schedule.CoordinatorReference;
@@ -379,7 +379,7 @@
                         new ServiceEndpoint(
                                 admission,
                                 dispatcher,
-                                new OnceGuard(ledger, dispatcher),
+                                new IdempotencyGuard(ledger, dispatcher),
                                 reactor::currentTimeMillis,
                                 limits.maxBodyBytes()),
                         metrics);
@@ -397,12 +397,12 @@
 
     /** Starts what is done now and then. */
     private void startTicking() {
-        RouterTimes times = RouterTimes.DEFAULTS;
+        RouterIntervals times = RouterIntervals.DEFAULTS;
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis(), this::beat);
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis() / 2, this::expire);
         ticker.every(times.countersMillis(), scheduler::exchangeCounters);
         ticker.every(times.maintainMillis(), scheduler::maintain);
-        ticker.every(times.meterMillis(), dispatcher::tick);
+        ticker.every(times.meterMillis(), dispatcher::recordElapsedService);
         ticker.every(times.pollMillis(), monitor::poll);
         settings.seedPeers().ifPresent(this::seed);
     }
@@ -448,7 +448,7 @@
         MembershipChange change = membership.expire(now);
         Set<String> listed = membership.listedRouters();
         long heard = listed.stream().filter(name -> membership.find(name).isPresent()).count();
-        readiness.contacts(follower.answeredAt(), listed.size(), (int) heard, now);
+        readiness.updateContact(follower.lastResponseAt(), listed.size(), (int) heard, now);
         if (change.hasChanges()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
             scheduler.removed(change.removed());
@@ -577,7 +577,7 @@
         metrics.gauge("peer_messages_sent", () -> network.traffic().messagesSent());
         metrics.gauge("peer_bytes_received", () -> network.traffic().bytesReceived());
         metrics.gauge("peer_frames_refused", () -> network.traffic().badFrames());
-        metrics.gauge("platform_calls", platform::calls);
+        metrics.gauge("platform_calls", platform::callCount);
         metrics.gauge("retries", () -> dispatcher.retryBudget().retries());
     }
 }
