--- a/src/main/java/org/martenwell/observe/HighDynamicRangeReservoir.java
+++ b/src/main/java/org/martenwell/observe/HighDynamicRangeReservoir.java
@@ -7,20 +7,19 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** Keeps values of a metric in a histogram with two significant digits. Used in one thread. */
+/** Reservoir of metric values with a precision of two significant digits. Not thread-safe. */
 public final class HighDynamicRangeReservoir implements Reservoir {
 
-    /** How many significant digits values keep. */
-    private static final int DIGITS = 2;
+    /** Precision of recorded values. */
+    private static final int SIGNIFICANT_DIGITS = 2;
 
-    /** The largest value; greater ones count as this. */
-    private static final long LARGEST = 3_600_000;
+    /** Upper bound of the histogram: greater values are recorded as this one. */
+    private static final long MAX_VALUE = 3_600_000;
 
-    /** How many values a snapshot has at most. */
+    /** Maximum number of values in a snapshot, which are evenly spaced percentiles. */
     private static final int SNAPSHOT_VALUES = 1_000;
 
-    /** The values. */
-    private final Histogram histogram = new Histogram(LARGEST, DIGITS);
+    private final Histogram histogram = new Histogram(MAX_VALUE, SIGNIFICANT_DIGITS);
 
     /** Creates an empty reservoir. */
     public HighDynamicRangeReservoir() {}
@@ -32,7 +31,7 @@
 
     @Override
     public void update(long value) {
-        histogram.recordValue(Math.max(0, Math.min(LARGEST, value)));
+        histogram.recordValue(Math.max(0, Math.min(MAX_VALUE, value)));
     }
 
     @Override
--- a/src/main/java/org/martenwell/observe/JsonLine.java
+++ b/src/main/java/org/martenwell/observe/JsonLine.java
@@ -8,31 +8,29 @@
 import org.apache.logging.log4j.util.StringBuilders;
 
 /**
- * One line of the log: a JSON object with the time, the level, the logger, the data and the kind
- * and message of an exception, if there is one. The data of the program's own lines are fields,
- * those of libraries a text.
+ * Formatter of a log line: a JSON object with the time, the level, the logger's name, the data and
+ * the type and message of the exception, if there is one. The data are the fields of a map message,
+ * or a single field {@code text} with any other message, such as those of libraries.
  */
 final class JsonLine {
 
-    /** How many milliseconds a second has. */
-    private static final int SECOND_MILLIS = 1_000;
+    private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** How many nanoseconds a millisecond has. */
-    private static final int MILLI_NANOS = 1_000_000;
+    private static final int NANOS_PER_MILLI = 1_000_000;
 
-    /** The line, open for more fields. */
+    /** The object without its closing brace. */
     private final StringBuilder text = new StringBuilder(256);
 
     /** Created by {@link #of}. */
     private JsonLine() {}
 
     /**
-     * Creates a line.
+     * Formats the line of an event without an exception.
      *
-     * @param millis The time since 1970, in milliseconds.
-     * @param level The level.
+     * @param millis The time of the event, in milliseconds since the epoch.
+     * @param level The event's level.
      * @param logger The logger's name.
-     * @param message The message.
+     * @param message The event's message.
      * @return The line.
      */
     static JsonLine of(long millis, Level level, String logger, Message message) {
@@ -48,9 +46,9 @@
     }
 
     /**
-     * Adds an exception.
+     * Adds the type and message of an exception, without its stack trace.
      *
-     * @param thrown The exception or {@code null}.
+     * @param thrown The exception, or {@code null} to add nothing.
      * @return This line.
      */
     JsonLine withException(Throwable thrown) {
@@ -63,16 +61,16 @@
     }
 
     /**
-     * Returns the line.
+     * Returns the complete line.
      *
-     * @return The text with its line end.
+     * @return The JSON object and a line separator.
      */
     String text() {
         return text + "}" + System.lineSeparator();
     }
 
     /**
-     * Appends a message as data.
+     * Appends a message as the value of the field {@code data}.
      *
      * @param message The message.
      */
@@ -87,9 +85,9 @@
     }
 
     /**
-     * Appends a text, escaped for a JSON string.
+     * Appends a string with the escapes of JSON.
      *
-     * @param value The text.
+     * @param value The string.
      */
     private void appendEscaped(String value) {
         int start = text.length();
@@ -98,31 +96,33 @@
     }
 
     /**
-     * Appends a time in the form of ISO 8601, UTC, to the millisecond. Formatters of {@code
-     * java.time} load locale data, which takes 30 ms of a start.
+     * Appends a time in ISO 8601 format, UTC, with milliseconds. Doesn't use the formatters of
+     * {@code java.time}, which load locale data and so slow down the start of a process.
      *
-     * @param millis The time since 1970, in milliseconds.
+     * @param millis The time, in milliseconds since the epoch.
      */
     private void appendTime(long millis) {
-        int rest = Math.floorMod(millis, SECOND_MILLIS);
+        int millisOfSecond = Math.floorMod(millis, MILLIS_PER_SECOND);
         LocalDateTime time =
                 LocalDateTime.ofEpochSecond(
-                        Math.floorDiv(millis, SECOND_MILLIS), rest * MILLI_NANOS, ZoneOffset.UTC);
+                        Math.floorDiv(millis, MILLIS_PER_SECOND),
+                        millisOfSecond * NANOS_PER_MILLI,
+                        ZoneOffset.UTC);
         appendNumber(time.getYear(), 4).append('-');
         appendNumber(time.getMonthValue(), 2).append('-');
         appendNumber(time.getDayOfMonth(), 2).append('T');
         appendNumber(time.getHour(), 2).append(':');
         appendNumber(time.getMinute(), 2).append(':');
         appendNumber(time.getSecond(), 2).append('.');
-        appendNumber(rest, 3).append('Z');
+        appendNumber(millisOfSecond, 3).append('Z');
     }
 
     /**
-     * Appends a number.
+     * Appends a number, padded with leading zeros.
      *
      * @param value The number, not negative.
-     * @param digits How many digits it has at least.
-     * @return The text.
+     * @param digits The minimum number of digits.
+     * @return The builder, for chaining.
      */
     private StringBuilder appendNumber(int value, int digits) {
         String plain = Integer.toString(value);
--- a/src/main/java/org/martenwell/observe/JsonLogProvider.java
+++ b/src/main/java/org/martenwell/observe/JsonLogProvider.java
@@ -2,10 +2,10 @@
 
 import org.apache.logging.log4j.spi.Provider;
 
-/** Tells Log4j's API which back end to use. Found by the service loader. */
+/** Provider that selects {@link JsonLoggerContextFactory} as the back end of the Log4j API. */
 public final class JsonLogProvider extends Provider {
 
-    /** The priority among providers; it is the only one in the program. */
+    /** Log4j uses the provider with the highest priority; no other one is on the class path. */
     private static final int PRIORITY = 100;
 
     /** Created by the service loader. */
--- a/src/main/java/org/martenwell/observe/JsonLogger.java
+++ b/src/main/java/org/martenwell/observe/JsonLogger.java
@@ -8,23 +8,22 @@
 import org.apache.logging.log4j.util.PropertiesUtil;
 
 /**
- * A logger that hands its lines to a {@link LogWriter}. They are formed by the thread that logs, so
- * that later changes of what is logged don't show.
+ * Logger that queues its lines at a {@link LogWriter}. Events are formatted on the thread that logs
+ * them, so that later changes of logged objects don't appear in the log.
  */
 final class JsonLogger extends SimpleLogger {
 
     private static final long serialVersionUID = 1L;
 
-    /** Writes the lines. */
     private final transient LogWriter writer;
 
     /**
      * Creates a logger.
      *
      * @param name The logger's name.
-     * @param level How much it writes.
-     * @param messages Creates messages from texts.
-     * @param writer Writes the lines.
+     * @param level The least severe level that is written.
+     * @param messages The factory of messages for events that are logged as text.
+     * @param writer The writer of the formatted lines.
      */
     JsonLogger(String name, Level level, MessageFactory messages, LogWriter writer) {
         super(
--- a/src/main/java/org/martenwell/observe/JsonLoggerContext.java
+++ b/src/main/java/org/martenwell/observe/JsonLoggerContext.java
@@ -8,23 +8,21 @@
 import org.apache.logging.log4j.spi.LoggerContext;
 import org.apache.logging.log4j.spi.Terminable;
 
-/** A back end of Log4j's API that writes each line as a JSON object. */
+/** Logger context of the Log4j API whose loggers write each event as a line of JSON. */
 final class JsonLoggerContext implements LoggerContext, Terminable {
 
-    /** Where lines go and how much is logged. */
     private final LogConfiguration configuration;
 
-    /** Writes the lines. */
     private final LogWriter writer;
 
     /** The loggers by name. */
     private final Map<String, ExtendedLogger> loggers = new ConcurrentHashMap<>();
 
     /**
-     * Creates a back end.
+     * Creates a context.
      *
-     * @param configuration Where lines go and how much is logged.
-     * @param writer Writes the lines.
+     * @param configuration The level of each logger.
+     * @param writer The writer of all loggers, stopped when the context is terminated.
      */
     JsonLoggerContext(LogConfiguration configuration, LogWriter writer) {
         this.configuration = configuration;
@@ -32,10 +30,10 @@
     }
 
     /**
-     * Creates a back end whose lines are written until the process ends.
+     * Creates a context with a running writer, which a shutdown hook flushes and stops.
      *
-     * @param configuration Where lines go and how much is logged.
-     * @return The back end.
+     * @param configuration The output and the level of each logger.
+     * @return The context.
      */
     static JsonLoggerContext of(LogConfiguration configuration) {
         LogWriter writer = new LogWriter(configuration.target().stream());
--- a/src/main/java/org/martenwell/observe/JsonLoggerContextFactory.java
+++ b/src/main/java/org/martenwell/observe/JsonLoggerContextFactory.java
@@ -4,13 +4,12 @@
 import org.apache.logging.log4j.spi.LoggerContext;
 import org.apache.logging.log4j.spi.LoggerContextFactory;
 
-/** Hands out the one back end of the process. */
+/** Factory that returns the same logger context to every class loader of the process. */
 public final class JsonLoggerContextFactory implements LoggerContextFactory {
 
-    /** The back end. */
-    private final JsonLoggerContext context = JsonLoggerContext.of(LogConfiguration.present());
+    private final JsonLoggerContext context = JsonLoggerContext.of(LogConfiguration.current());
 
-    /** Created by Log4j's API. */
+    /** Created by the Log4j API. */
     public JsonLoggerContextFactory() {}
 
     @Override
--- a/src/main/java/org/martenwell/observe/LogConfiguration.java
+++ b/src/main/java/org/martenwell/observe/LogConfiguration.java
@@ -3,53 +3,53 @@
 import org.apache.logging.log4j.Level;
 
 /**
- * Where a process logs and how much. Lines go through Log4j's API to {@link JsonLoggerContext},
- * because a start with Log4j's own back end spent 0.33 of 0.80 s of processor time on its plugins,
- * patterns and dates (median of five starts, class archive in use).
+ * Log settings of a process. The back end of the Log4j API is {@link JsonLoggerContext} rather than
+ * Log4j Core, whose plugins, patterns and date formats slow down the start of a process.
  *
- * @param target Where lines go.
- * @param level How much the program logs. Libraries log errors only.
+ * @param target The output of all log lines.
+ * @param level The level of the program's own loggers; those of libraries log errors only.
  */
 public record LogConfiguration(LogTarget target, Level level) {
 
-    /** The property that overrides how much the program logs. */
+    /** System property that overrides the level of the program. */
     private static final String LEVEL_PROPERTY = "martenwell.log.level";
 
-    /** The packages of the program. */
+    /** Prefix of the names of the program's own loggers. */
     private static final String PROGRAM = "org.martenwell";
 
-    /** What is in force until something else is put in force. */
+    /** Settings until {@link #install} is called. */
     private static final LogConfiguration DEFAULT =
             new LogConfiguration(LogTarget.SYSTEM_ERR, Level.ERROR);
 
-    /** What is in force. */
-    private static volatile LogConfiguration present = DEFAULT;
+    private static volatile LogConfiguration current = DEFAULT;
 
     /**
-     * Puts a configuration in force. Must come before anything logs.
+     * Sets the configuration of this process. Loggers that exist already are not changed, so this
+     * must be called before the first one is created.
      *
-     * @param target Where lines go.
-     * @param usual How much the program logs unless a property says otherwise.
+     * @param target The output of all log lines.
+     * @param defaultLevel The level of the program's loggers if the system property is absent or
+     *     invalid.
      */
-    public static void install(LogTarget target, Level usual) {
-        Level level = Level.toLevel(System.getProperty(LEVEL_PROPERTY), usual);
-        present = new LogConfiguration(target, level);
+    public static void install(LogTarget target, Level defaultLevel) {
+        Level level = Level.toLevel(System.getProperty(LEVEL_PROPERTY), defaultLevel);
+        current = new LogConfiguration(target, level);
     }
 
     /**
-     * Returns what is in force.
+     * Returns the configuration that was installed last, or the default one.
      *
      * @return The configuration.
      */
-    static LogConfiguration present() {
-        return present;
+    static LogConfiguration current() {
+        return current;
     }
 
     /**
-     * Returns how much a logger writes.
+     * Returns the level of a logger.
      *
      * @param logger The logger's name.
-     * @return The level.
+     * @return The least severe level that the logger writes.
      */
     Level level(String logger) {
         return logger.startsWith(PROGRAM) ? level : Level.ERROR;
--- a/src/main/java/org/martenwell/observe/LogEvent.java
+++ b/src/main/java/org/martenwell/observe/LogEvent.java
@@ -5,31 +5,31 @@
 import org.apache.logging.log4j.message.MapMessage;
 import org.apache.logging.log4j.message.Message;
 
-/** One structured log line. */
+/** Builder of a structured log message with named fields. */
 public final class LogEvent {
 
-    /** The fields in the order in which they were added. */
+    /** The fields by name. */
     private final Map<String, Object> fields = new LinkedHashMap<>();
 
     /** Created by {@link #of}. */
     private LogEvent() {}
 
     /**
-     * Starts a line.
+     * Creates a builder for an event.
      *
-     * @param name What happened.
-     * @return The line.
+     * @param name The event's name, written as the field {@code event}.
+     * @return The builder.
      */
     public static LogEvent of(String name) {
         return new LogEvent().with("event", name);
     }
 
     /**
-     * Adds a field.
+     * Adds a field, or replaces its value.
      *
      * @param field The field's name.
-     * @param value The field's value.
-     * @return This line.
+     * @param value The field's value, formatted when the message is logged.
+     * @return This builder.
      */
     public LogEvent with(String field, Object value) {
         fields.put(field, value);
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Returns the line for a logger.
+     * Builds the message for a logger.
      *
-     * @return The message.
+     * @return The message with a copy of the fields.
      */
     public Message message() {
         return new MapMessage<>(fields);
--- a/src/main/java/org/martenwell/observe/LogTarget.java
+++ b/src/main/java/org/martenwell/observe/LogTarget.java
@@ -2,10 +2,10 @@
 
 import java.io.PrintStream;
 
-/** Where the lines of a process go. */
+/** Output of the log lines of a process. */
 public enum LogTarget {
 
-    /** The standard output, for processes that serve. */
+    /** Standard output, for server processes. */
     SYSTEM_OUT {
         @Override
         PrintStream stream() {
@@ -13,7 +13,7 @@
         }
     },
 
-    /** The standard error output, for commands that print their results. */
+    /** Standard error, for commands that print their results to standard output. */
     SYSTEM_ERR {
         @Override
         PrintStream stream() {
@@ -22,9 +22,9 @@
     };
 
     /**
-     * Returns the stream that takes the lines.
+     * Returns the stream of this output.
      *
-     * @return The stream as it is set now.
+     * @return The stream that {@link System} has at the time of the call.
      */
     abstract PrintStream stream();
 }
--- a/src/main/java/org/martenwell/observe/LogWriter.java
+++ b/src/main/java/org/martenwell/observe/LogWriter.java
@@ -10,105 +10,102 @@
 import org.apache.logging.log4j.Level;
 
 /**
- * Writes lines by a thread of its own, so that a slow output holds nobody up. While it is full,
- * lines are dropped, and a line tells how many once there is room.
+ * Asynchronous writer of log lines, so that a slow output never blocks the threads that log. Lines
+ * are dropped while the queue is full; their number is logged with the next lines that are written.
  */
 final class LogWriter {
 
-    /** How many lines wait for a slow output before more are dropped. */
-    static final int WAITING_LINES = 2_048;
+    /** Capacity of the queue, in lines. */
+    static final int QUEUE_CAPACITY = 2_048;
 
-    /** How long a stop waits for lines that are still to be written, in milliseconds. */
-    private static final long STOP_MILLIS = 500;
+    /** Time that {@link #stop} waits for the remaining lines, in milliseconds. */
+    private static final long STOP_TIMEOUT_MILLIS = 500;
 
-    /** A line that only wakes the thread. */
-    private static final String NOTHING = "";
+    /** Empty line that wakes the thread to let it see that it is stopped. */
+    private static final String WAKE_UP = "";
 
-    /** Where lines go. */
     private final PrintStream out;
 
-    /** The lines that are still to be written. */
-    private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(WAITING_LINES);
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
 
-    /** How many lines were dropped since that was last told. */
+    /** Number of lines dropped since the last report of dropped lines. */
     private final AtomicLong dropped = new AtomicLong();
 
-    /** Whether the thread ends once nothing waits. */
+    /** Set once the thread must end as soon as the queue is empty. */
     private volatile boolean stopping;
 
-    /** Writes the lines. */
     private final Thread thread = new Thread(this::run, "log-writer");
 
     /**
-     * Creates a writer.
+     * Creates a writer, which queues lines until it is started.
      *
-     * @param out Where lines go.
+     * @param out The output, flushed after each batch of lines and never closed.
      */
     LogWriter(PrintStream out) {
         this.out = out;
         thread.setDaemon(true);
     }
 
-    /** Starts to write lines. */
+    /** Starts the writer's daemon thread. May be called once. */
     void start() {
         thread.start();
     }
 
     /**
-     * Writes a line soon, or drops it if too many wait.
+     * Queues a line, or drops it if the queue is full. Never blocks.
      *
-     * @param line The line with its line end.
+     * @param line The line with its line separator.
      */
     void write(String line) {
-        if (!waiting.offer(line)) {
+        if (!queue.offer(line)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Writes what waits and ends. Lines that come later are not written. */
+    /** Writes the queued lines and ends the thread. Later lines may be lost. */
     void stop() {
         stopping = true;
-        waiting.offer(NOTHING);
+        queue.offer(WAKE_UP);
         try {
-            thread.join(STOP_MILLIS);
+            thread.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes lines until the writer stops and nothing waits. */
+    /** Writes lines in batches until the writer is stopped and the queue is empty. */
     private void run() {
         try {
             List<String> lines = new ArrayList<>();
             do {
                 lines.clear();
-                lines.add(waiting.take());
-                waiting.drainTo(lines);
+                lines.add(queue.take());
+                queue.drainTo(lines);
                 writeAll(lines);
-            } while (!stopping || !waiting.isEmpty());
+            } while (!stopping || !queue.isEmpty());
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Writes lines at once.
+     * Writes a batch of lines in one call, with the report of dropped lines if there is one.
      *
      * @param lines The lines.
      */
     private void writeAll(List<String> lines) {
-        String text = String.join("", lines) + toldDropped();
+        String text = String.join("", lines) + droppedReport();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         out.write(bytes, 0, bytes.length);
         out.flush();
     }
 
     /**
-     * Tells how many lines were dropped.
+     * Returns a log line with the number of dropped lines and resets that number.
      *
-     * @return A line or an empty text if there were none.
+     * @return The line, or an empty string if no line was dropped.
      */
-    private String toldDropped() {
+    private String droppedReport() {
         long count = dropped.getAndSet(0);
         if (count == 0) {
             return "";
--- a/src/main/java/org/martenwell/observe/ProcessUsage.java
+++ b/src/main/java/org/martenwell/observe/ProcessUsage.java
@@ -5,29 +5,28 @@
 import java.lang.management.ManagementFactory;
 import java.util.Optional;
 
-/** Measures what this process uses of its box. */
+/** Resource usage of this process on its box. Not thread-safe. */
 public final class ProcessUsage {
 
-    /** How many nanoseconds a millisecond has. */
-    private static final long NANOS_A_MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** How many bytes a megabyte has. */
-    private static final long MEGABYTE = 1 << 20;
+    private static final long BYTES_PER_MEGABYTE = 1 << 20;
 
-    /** The processor time at the last measurement, in milliseconds. */
+    /** CPU time at the last measurement, in milliseconds. */
     private long processorMillis;
 
-    /** The time spent on collecting garbage at the last measurement, in milliseconds. */
+    /** Garbage collection time at the last measurement, in milliseconds. */
     private long collectionMillis;
 
     /**
-     * What a process used between two measurements and holds at the second one.
+     * Resource usage over the interval between two measurements. The times are those of the
+     * interval, all other values are those at its end.
      *
-     * @param processorMillis The processor time, in milliseconds.
-     * @param collectionMillis The time spent on collecting garbage, in milliseconds.
-     * @param heapMegabytes The heap in use, garbage included, in megabytes.
-     * @param descriptors The open files and sockets, 0 if the platform does not tell.
-     * @param descriptorLimit How many there may be, 0 if the platform does not tell.
+     * @param processorMillis The CPU time, in milliseconds, or 0 if it is unavailable.
+     * @param collectionMillis The time spent on garbage collection, in milliseconds.
+     * @param heapMegabytes The used heap, including garbage, in mebibytes.
+     * @param descriptors The number of open file descriptors, or 0 if it is unavailable.
+     * @param descriptorLimit The limit of open file descriptors, or 0 if it is unavailable.
      */
     public record Interval(
             long processorMillis,
@@ -36,39 +35,42 @@
             long descriptors,
             long descriptorLimit) {}
 
-    /** Creates a measurement that begins with the process. */
+    /** Creates an instance whose first interval begins at the start of the process. */
     public ProcessUsage() {}
 
     /**
-     * Measures.
+     * Measures the usage since the last call.
      *
-     * @return What was used since the last call.
+     * @return The usage, from the start of the process at the first call.
      */
     public Interval take() {
-        Optional<UnixOperatingSystemMXBean> system = system();
-        long processor = system.map(each -> each.getProcessCpuTime() / NANOS_A_MILLI).orElse(0L);
-        long collection = collection();
+        Optional<UnixOperatingSystemMXBean> operatingSystem = operatingSystem();
+        long processorTotal =
+                operatingSystem.map(each -> each.getProcessCpuTime() / NANOS_PER_MILLI).orElse(0L);
+        long collectionTotal = collectionTotal();
         Interval interval =
                 new Interval(
-                        processor - processorMillis,
-                        collection - collectionMillis,
+                        processorTotal - processorMillis,
+                        collectionTotal - collectionMillis,
                         ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed()
-                                / MEGABYTE,
-                        system.map(UnixOperatingSystemMXBean::getOpenFileDescriptorCount)
+                                / BYTES_PER_MEGABYTE,
+                        operatingSystem
+                                .map(UnixOperatingSystemMXBean::getOpenFileDescriptorCount)
                                 .orElse(0L),
-                        system.map(UnixOperatingSystemMXBean::getMaxFileDescriptorCount)
+                        operatingSystem
+                                .map(UnixOperatingSystemMXBean::getMaxFileDescriptorCount)
                                 .orElse(0L));
-        processorMillis = processor;
-        collectionMillis = collection;
+        processorMillis = processorTotal;
+        collectionMillis = collectionTotal;
         return interval;
     }
 
     /**
-     * Returns what the platform tells of processes.
+     * Returns the management bean with the process's CPU time and file descriptors.
      *
-     * @return What it tells or empty if it does not.
+     * @return The bean, or empty if the JVM doesn't provide it.
      */
-    private static Optional<UnixOperatingSystemMXBean> system() {
+    private static Optional<UnixOperatingSystemMXBean> operatingSystem() {
         return ManagementFactory.getOperatingSystemMXBean()
                         instanceof UnixOperatingSystemMXBean bean
                 ? Optional.of(bean)
@@ -76,11 +78,11 @@
     }
 
     /**
-     * Returns how long garbage was collected since the start.
+     * Returns the garbage collection time since the start of the process.
      *
-     * @return The time in milliseconds.
+     * @return The time of all collectors, in milliseconds.
      */
-    private static long collection() {
+    private static long collectionTotal() {
         return ManagementFactory.getGarbageCollectorMXBeans().stream()
                 .mapToLong(GarbageCollectorMXBean::getCollectionTime)
                 .sum();
--- a/src/test/java/org/martenwell/observe/JsonLineTest.java
+++ b/src/test/java/org/martenwell/observe/JsonLineTest.java
@@ -14,7 +14,7 @@
 class JsonLineTest {
 
     @Test
-    void testLineOfTheProgramIsAnObjectWithItsFields() {
+    void testMapMessageIsFormattedAsFields() {
         Message message =
                 LogEvent.of("request-sent")
                         .with("request", "a \"quoted\" id")
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void testLineOfALibraryIsAnObjectWithItsTextAndException() {
+    void testTextMessageIsFormattedWithException() {
         JsonNode line =
                 line(
                         new SimpleMessage("a \"text\"\nof two lines"),
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void testExceptionOfTheProgramIsTold() {
+    void testMapMessageIsFormattedWithException() {
         JsonNode line = line(LogEvent.of("defect").message(), new IllegalStateException("reason"));
         assertThat(line.path("exception").asText())
                 .startsWith("java.lang.IllegalStateException: reason");
     }
 
     @Test
-    void testTimeOfALaterDayIsWhole() {
+    void testTimeIsPaddedToFullPrecision() {
         String text =
                 JsonLine.of(1_796_246_400_009L, Level.INFO, "x", new SimpleMessage("")).text();
         assertThat(text).startsWith("{\"time\":\"2026-12-02T21:20:00.009Z\"");
--- a/src/test/java/org/martenwell/observe/LogWriterTest.java
+++ b/src/test/java/org/martenwell/observe/LogWriterTest.java
@@ -20,9 +20,9 @@
 
     @Test
     @Timeout(60)
-    void testLogStopsOnceItsLinesAreWritten() {
+    void testTerminateWritesQueuedLinesAndEndsThread() {
         Set<Thread> before = Thread.getAllStackTraces().keySet();
-        LogWriter writer = started(written);
+        LogWriter writer = startWriter(written);
         JsonLoggerContext context =
                 new JsonLoggerContext(
                         new LogConfiguration(LogTarget.SYSTEM_ERR, Level.INFO), writer);
@@ -30,14 +30,14 @@
         logger.debug("not written");
         logger.info("first");
         logger.error("second");
-        List<Thread> started =
+        List<Thread> writerThreads =
                 Thread.getAllStackTraces().keySet().stream()
                         .filter(each -> each.getName().equals("log-writer"))
                         .filter(each -> !before.contains(each))
                         .toList();
         context.terminate();
         context.terminate();
-        assertThat(started).isNotEmpty().noneMatch(Thread::isAlive);
+        assertThat(writerThreads).isNotEmpty().noneMatch(Thread::isAlive);
         assertThat(text().lines())
                 .hasSize(2)
                 .satisfiesExactly(
@@ -45,14 +45,14 @@
                         line -> assertThat(line).contains("second"));
     }
 
-    /** A caller that waited for a full output would hold all requests of its process up. */
+    /** Guards against a blocked output that blocks the event loop and so all requests. */
     @Test
     @Timeout(60)
-    void testLinesBeyondWhatMayWaitAreDroppedAndCounted() throws InterruptedException {
+    void testLinesBeyondQueueCapacityAreDroppedAndCounted() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
-        CountDownLatch open = new CountDownLatch(1);
+        CountDownLatch released = new CountDownLatch(1);
         LogWriter writer =
-                started(
+                startWriter(
                         new OutputStream() {
                             @Override
                             public void write(int value) {
@@ -62,22 +62,22 @@
                             @Override
                             public void write(byte[] bytes, int offset, int length) {
                                 blocked.countDown();
-                                awaitQuietly(open);
+                                awaitQuietly(released);
                                 written.write(bytes, offset, length);
                             }
                         });
         writer.write("first\n");
         blocked.await();
-        for (int line = 0; line < LogWriter.WAITING_LINES + 3; line++) {
+        for (int line = 0; line < LogWriter.QUEUE_CAPACITY + 3; line++) {
             writer.write("later\n");
         }
-        open.countDown();
+        released.countDown();
         writer.stop();
-        assertThat(text().lines()).hasSize(1 + LogWriter.WAITING_LINES + 1);
+        assertThat(text().lines()).hasSize(1 + LogWriter.QUEUE_CAPACITY + 1);
         assertThat(text()).contains("\"event\":\"log-lines-dropped\",\"lines\":3");
     }
 
-    private static LogWriter started(OutputStream out) {
+    private static LogWriter startWriter(OutputStream out) {
         LogWriter writer = new LogWriter(new PrintStream(out, false, StandardCharsets.UTF_8));
         writer.start();
         return writer;
--- a/src/test/java/org/martenwell/observe/ProcessUsageTest.java
+++ b/src/test/java/org/martenwell/observe/ProcessUsageTest.java
@@ -14,7 +14,7 @@
 final class ProcessUsageTest {
 
     @Test
-    void testOpenFilesAreCountedAndLimited(@TempDir Path folder) throws IOException {
+    void testUsageIncludesOpenFilesAndTheirLimit(@TempDir Path folder) throws IOException {
         ProcessUsage usage = new ProcessUsage();
         Path file = Files.createFile(folder.resolve("file"));
         long before = usage.take().descriptors();
