--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -5,13 +5,13 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.Collection;
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.exchange.Body;
 import org.martenwell.exchange.BufferedResponse;
 import org.martenwell.exchange.InternalHttpClient;
 import org.martenwell.exchange.OutboundRequest;
 import org.martenwell.hash.RendezvousHash;
-import org.martenwell.prompt.KeptPart;
+import org.martenwell.prompt.CachedPart;
 import org.martenwell.prompt.PromptChain;
 
 /**
@@ -52,7 +52,7 @@
     void load(Collection<String> gateways) {
         for (KnownTarget each : core.targets().all()) {
             boolean engine = core.promptCacheCapacity(each.load()) > 0;
-            if (engine && each.load().memory().isEmpty() && owns(each, gateways)) {
+            if (engine && each.load().promptCache().isEmpty() && owns(each, gateways)) {
                 requestParts(each);
             }
         }
@@ -77,7 +77,7 @@
      * @param target The engine.
      */
     private void requestParts(KnownTarget target) {
-        long pauseMillis = target.load().availability().restMillis(core.now());
+        long pauseMillis = target.load().availability().pauseMillis(core.now());
         if (pauseMillis > 0) {
             core.reactor().delayBackground(pauseMillis, () -> requestParts(target));
             return;
@@ -105,11 +105,11 @@
             return;
         }
         String incarnation = target.load().target().life();
-        for (KeptPart each : core.dialect().keptParts(reply.body())) {
+        for (CachedPart each : core.dialect().keptParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
-            target.load().memory().keep(key, tokens, core.promptCacheCapacity(target.load()));
-            core.queueCacheUpdate(new PlacedPart(incarnation, key, tokens));
+            target.load().promptCache().put(key, tokens, core.promptCacheCapacity(target.load()));
+            core.queueCacheUpdate(new CachedPartUpdate(incarnation, key, tokens));
         }
         core.log().changed("kept-parts", incarnation);
     }
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -7,19 +7,19 @@
 import java.util.Optional;
 import java.util.Random;
 import org.martenwell.admission.FleetRetryBudget;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.EngineChooser;
 import org.martenwell.balance.EngineReserve;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ServiceChooser;
 import org.martenwell.balance.TargetLoad;
-import org.martenwell.balance.UnseenWork;
+import org.martenwell.balance.UnreportedWork;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.SharedKeys;
 import org.martenwell.quarantine.FingerprintFunction;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.route.RouteTable;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.settings.GatewaySettings;
 import org.martenwell.share.FairShares;
 
@@ -49,7 +49,7 @@
     private final EngineChooser engines;
 
     /** Estimates the load that peers put on engines since their last reports. */
-    private final UnseenWork unreportedWork = new UnseenWork();
+    private final UnreportedWork unreportedWork = new UnreportedWork();
 
     /** Reserves engines for requests within fair shares. */
     private final EngineReserve reserve = new EngineReserve();
@@ -74,7 +74,7 @@
     private RouteTable routes = new RouteTable(List.of());
 
     /** The changes of prompt caches since the last report to peers. */
-    private List<PlacedPart> cacheUpdates = new ArrayList<>();
+    private List<CachedPartUpdate> cacheUpdates = new ArrayList<>();
 
     private final SharedKeys sharedKeys = new SharedKeys();
 
@@ -212,7 +212,7 @@
     }
 
     /** {@return the estimate of the load that peers put on engines since their last reports} */
-    UnseenWork unreportedWork() {
+    UnreportedWork unreportedWork() {
         return unreportedWork;
     }
 
@@ -226,7 +226,7 @@
      * millisecond; 0 if the configuration sets no capacity}
      */
     double tokensWithinShares() {
-        return promisedTokens() * shares.askedWithin() / MILLIS_PER_SECOND;
+        return promisedTokens() * shares.promisedDemand() / MILLIS_PER_SECOND;
     }
 
     /** {@return the selector of targets of plain services} */
@@ -260,8 +260,8 @@
     }
 
     /** Counts a first attempt, which adds to the retry budget. */
-    void countFresh() {
-        retries.countFresh(now());
+    void countFirstAttempt() {
+        retries.countFirstAttempt(now());
     }
 
     /**
@@ -302,7 +302,7 @@
      */
     void queueCacheUpdate(String target, PromptChain chain) {
         for (int index = 0; index < chain.length(); index++) {
-            queueCacheUpdate(new PlacedPart(target, chain.key(index), chain.tokens(index)));
+            queueCacheUpdate(new CachedPartUpdate(target, chain.key(index), chain.tokens(index)));
         }
     }
 
@@ -312,7 +312,7 @@
      *
      * @param part The part that is cached or no longer cached.
      */
-    void queueCacheUpdate(PlacedPart part) {
+    void queueCacheUpdate(CachedPartUpdate part) {
         if (cacheUpdates.size() < MAX_PENDING_PARTS) {
             cacheUpdates.add(part);
         }
@@ -327,7 +327,7 @@
     long promptCacheCapacity(TargetLoad load) {
         return configuration()
                 .flatMap(each -> each.service(load.target().service()))
-                .flatMap(ServiceTerms::engine)
+                .flatMap(ServiceConfiguration::engine)
                 .map(engine -> promptCacheCapacity(engine, load))
                 .orElse(0L);
     }
@@ -340,7 +340,7 @@
      * @param load The engine.
      * @return The capacity in tokens.
      */
-    private long promptCacheCapacity(EngineTerms engine, TargetLoad load) {
+    private long promptCacheCapacity(EngineCapacity engine, TargetLoad load) {
         long free = engine.memoryTokens() - load.all(now()).memoryTokens();
         return Math.max(engine.memoryTokens() / MIN_CACHE_DIVISOR, free);
     }
@@ -350,8 +350,8 @@
      *
      * @return The changes since the last call.
      */
-    List<PlacedPart> takeCacheUpdates() {
-        List<PlacedPart> taken = cacheUpdates;
+    List<CachedPartUpdate> takeCacheUpdates() {
+        List<CachedPartUpdate> taken = cacheUpdates;
         cacheUpdates = new ArrayList<>();
         return taken;
     }
--- a/src/main/java/org/martenwell/gateway/StallDetector.java
+++ b/src/main/java/org/martenwell/gateway/StallDetector.java
@@ -37,7 +37,7 @@
         this.core = core;
         this.listener = listener;
         long objectives = OBJECTIVES_ALLOWED * route.objectiveMillis();
-        long pauses = PAUSES_ALLOWED * route.pauseMillis();
+        long pauses = PAUSES_ALLOWED * route.eventIntervalMillis();
         this.allowedMillis = Math.max(MIN_SILENCE_MILLIS, Math.max(objectives, pauses));
     }
 
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -137,7 +137,7 @@
     private void probed(KnownTarget target, Incarnation incarnation, ConnectResult result) {
         incarnation.probing = false;
         if (result == ConnectResult.REFUSED) {
-            target.load().health().notReached(reactor.currentTimeMillis());
+            target.load().health().connectFailed(reactor.currentTimeMillis());
             reportCrash(target, incarnation);
         }
         // An accepted probe is no proof that the target lives: it may have reached the next
--- a/src/main/java/org/martenwell/peer/GatewayForms.java
+++ b/src/main/java/org/martenwell/peer/GatewayForms.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantineWord;
-import org.martenwell.quarantine.WordKind;
+import org.martenwell.quarantine.QuarantineUpdate;
+import org.martenwell.quarantine.QuarantineUpdateKind;
 import org.martenwell.share.ShareCounts;
 import org.martenwell.share.ShareSums;
 
@@ -35,12 +35,12 @@
         for (TargetLoadReport each : message.loads()) {
             writer.name(each.target());
             writer.number(each.sums().requests());
-            writer.number(each.sums().unreadTokens());
+            writer.number(each.sums().prefillTokens());
             writer.number(each.sums().memoryTokens());
         }
         write(message.shares(), writer);
         writer.count(message.placed().size());
-        for (PlacedPart each : message.placed()) {
+        for (CachedPartUpdate each : message.placed()) {
             writer.name(each.target());
             writer.number(each.key());
             writer.number(each.tokens());
@@ -50,7 +50,7 @@
             writer.name(each);
         }
         writer.count(message.quarantine().size());
-        for (QuarantineWord each : message.quarantine()) {
+        for (QuarantineUpdate each : message.quarantine()) {
             write(each, writer);
         }
     }
@@ -62,11 +62,11 @@
      * @param writer Receives it.
      * @throws IOException Never for a buffer in memory.
      */
-    private static void write(QuarantineWord word, FieldWriter writer) throws IOException {
+    private static void write(QuarantineUpdate word, FieldWriter writer) throws IOException {
         writer.number(word.fingerprint().scope());
         writer.number(word.fingerprint().content());
         writer.number(word.kind().number());
-        writer.text(word.life());
+        writer.text(word.incarnation());
     }
 
     /**
@@ -76,9 +76,10 @@
      * @return What is told.
      * @throws IOException If it ends early.
      */
-    private static QuarantineWord readQuarantineWord(FieldReader reader) throws IOException {
+    private static QuarantineUpdate readQuarantineWord(FieldReader reader) throws IOException {
         Fingerprint fingerprint = new Fingerprint(reader.number(), reader.number());
-        return new QuarantineWord(fingerprint, WordKind.of(reader.smallNumber()), reader.text());
+        return new QuarantineUpdate(
+                fingerprint, QuarantineUpdateKind.of(reader.smallNumber()), reader.text());
     }
 
     /**
@@ -93,9 +94,9 @@
         writer.count(shares.sums().size());
         for (Map.Entry<String, ShareSums> each : shares.sums().entrySet()) {
             writer.name(each.getKey());
-            writer.number(Math.round(each.getValue().asked()));
-            writer.number(Math.round(each.getValue().begun()));
-            writer.number(Math.round(each.getValue().within()));
+            writer.number(Math.round(each.getValue().requested()));
+            writer.number(Math.round(each.getValue().sent()));
+            writer.number(Math.round(each.getValue().withinShare()));
         }
     }
 
@@ -137,7 +138,8 @@
                 reader.number(),
                 reader.list(each -> new TargetLoadReport(each.name(), readSums(each))),
                 readShares(reader),
-                reader.list(each -> new PlacedPart(each.name(), each.number(), each.number())),
+                reader.list(
+                        each -> new CachedPartUpdate(each.name(), each.number(), each.number())),
                 reader.list(FieldReader::name),
                 reader.list(GatewayForms::readQuarantineWord));
     }
--- /dev/null
+++ b/src/main/java/org/martenwell/route/ServiceConfiguration.java
@@ -0,0 +1,13 @@
+package org.martenwell.route;
+
+import java.util.Optional;
+
+/**
+ * Configuration of a service.
+ *
+ * @param name The name of the service.
+ * @param maxConnections The most connections that each target accepts.
+ * @param engine The capacity of the model engines, empty for a plain service.
+ */
+public record ServiceConfiguration(
+        String name, int maxConnections, Optional<EngineCapacity> engine) {}
--- a/src/main/java/org/martenwell/share/ShareSums.java
+++ b/src/main/java/org/martenwell/share/ShareSums.java
@@ -1,25 +1,25 @@
 package org.martenwell.share;
 
 /**
- * What an organisation asked and got in the last window.
+ * The demand and use of one organisation in the last window.
  *
- * @param asked The tokens that its requests asked for.
- * @param begun The tokens of those that were sent to a target.
- * @param within The tokens of those of them that were within its share of what the fleet is
- *     promised to produce when they were sent.
+ * @param requested The cost of the received requests, in tokens.
+ * @param sent The cost of the requests sent to a target, in tokens.
+ * @param withinShare The cost of the requests sent within the promised share, in tokens.
  */
-public record ShareSums(double asked, double begun, double within) {
+public record ShareSums(double requested, double sent, double withinShare) {
 
-    /** Nothing. */
+    /** The sums of an organisation without requests. */
     public static final ShareSums NONE = new ShareSums(0, 0, 0);
 
     /**
-     * Adds sums.
+     * Adds up two sums.
      *
      * @param other The other sums.
-     * @return The sums of both.
+     * @return The total of both.
      */
     public ShareSums plus(ShareSums other) {
-        return new ShareSums(asked + other.asked, begun + other.begun, within + other.within);
+        return new ShareSums(
+                requested + other.requested, sent + other.sent, withinShare + other.withinShare);
     }
 }
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -9,12 +9,12 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.prompt.PromptPart;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareTier;
 
@@ -27,7 +27,7 @@
     /** The promised capacity of the fleet, in tokens per second. */
     private static final long PROMISED_TOKENS = 10_000;
 
-    private static final EngineTerms TERMS = new EngineTerms(4, 100_000, true);
+    private static final EngineCapacity TERMS = new EngineCapacity(4, 100_000, true);
 
     private final GatewayCore core =
             GatewayCores.of(
@@ -36,7 +36,7 @@
     private final EngineRouting routing =
             new EngineRouting(
                     core,
-                    new PromptNeed(
+                    new EngineDemand(
                             "low",
                             PromptChain.of("m", List.of(new PromptPart("own", 9))),
                             9,
@@ -57,10 +57,10 @@
 
     @Test
     void testRequestWithinObservedShareUsesIdleReservedEngine() {
-        core.shares().asked("high", 100 * PROMISED_TOKENS, core.now());
-        core.shares().begun("high", 20 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
-        core.shares().asked("low", 100 * PROMISED_TOKENS, core.now());
-        core.shares().begun("low", 4 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
+        core.shares().requested("high", 100 * PROMISED_TOKENS, core.now());
+        core.shares().sent("high", 20 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
+        core.shares().requested("low", 100 * PROMISED_TOKENS, core.now());
+        core.shares().sent("low", 4 * PROMISED_TOKENS, ShareTier.PROMISED, core.now());
         core.reserve().sent(1e9, 1);
         EngineRouting.Decision decision = routing.decide(loads, 0, GatewayCores.route(400));
         assertThat(decision.use().tier()).isEqualTo(ShareTier.OBSERVED);
--- a/src/test/java/org/martenwell/peer/MessageFormsTest.java
+++ b/src/test/java/org/martenwell/peer/MessageFormsTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.configuration.Pool;
 import org.martenwell.error.ErrorKind;
@@ -20,8 +20,8 @@
 import org.martenwell.member.Heartbeat;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantineWord;
-import org.martenwell.quarantine.WordKind;
+import org.martenwell.quarantine.QuarantineUpdate;
+import org.martenwell.quarantine.QuarantineUpdateKind;
 import org.martenwell.schedule.Demand;
 import org.martenwell.schedule.FailureCount;
 import org.martenwell.schedule.Holding;
@@ -135,12 +135,14 @@
                 Combinators.combine(counts, numbers, numbers).as(LoadSums::new);
         Arbitrary<ShareSums> shareSums =
                 Combinators.combine(counts, counts, counts)
-                        .as((asked, begun, within) -> new ShareSums(asked, begun, within));
+                        .as(
+                                (requested, sent, withinShare) ->
+                                        new ShareSums(requested, sent, withinShare));
         Arbitrary<Fingerprint> fingerprints =
                 Combinators.combine(numbers, numbers).as(Fingerprint::new);
-        Arbitrary<QuarantineWord> words =
-                Combinators.combine(fingerprints, Arbitraries.of(WordKind.class), names)
-                        .as(QuarantineWord::new);
+        Arbitrary<QuarantineUpdate> words =
+                Combinators.combine(fingerprints, Arbitraries.of(QuarantineUpdateKind.class), names)
+                        .as(QuarantineUpdate::new);
         Arbitrary<PeerMessage> gatewayReports =
                 Combinators.combine(
                                 names,
@@ -155,7 +157,7 @@
                                                 Arbitraries.maps(names, shareSums).ofMaxSize(5))
                                         .as(ShareCounts::new),
                                 Combinators.combine(names, numbers, numbers)
-                                        .as(PlacedPart::new)
+                                        .as(CachedPartUpdate::new)
                                         .list()
                                         .ofMaxSize(5),
                                 names.list().ofMaxSize(5),
