--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -87,7 +87,7 @@
         headers.set(HttpHeaderNames.HOST, target.load().target().address().getHostString());
         OutboundRequest request =
                 new OutboundRequest(
-                        HttpMethod.GET, core.dialect().keptPartsPath(), headers, Body.EMPTY);
+                        HttpMethod.GET, core.dialect().cachedPartsPath(), headers, Body.EMPTY);
         caller.call(request, TIMEOUT_MILLIS)
                 .whenResult(reply -> storeParts(target, reply))
                 .whenComplete(caller::close);
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -78,7 +78,7 @@
      *
      * @return The path.
      */
-    String keptPartsPath();
+    String cachedPartsPath();
 
     /**
      * Parses a target's list of cached prompt parts.
