--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -105,7 +105,7 @@
             return;
         }
         String incarnation = target.load().target().life();
-        for (CachedPart each : core.dialect().keptParts(reply.body())) {
+        for (CachedPart each : core.dialect().parseCachedParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().promptCache().put(key, tokens, core.promptCacheCapacity(target.load()));
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -86,7 +86,7 @@
      * @param body The body of the target's response.
      * @return The cached parts.
      */
-    List<CachedPart> keptParts(Body body);
+    List<CachedPart> parseCachedParts(Body body);
 
     /**
      * Builds the long-polling request for changes of a target's prompt cache.
