--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -86,7 +86,7 @@
         }
         String host = target.load().target().address().getHostString();
         caller.call(
-                        core.dialect().keptChangesRequest(host, since, POLL_WAIT_MILLIS),
+                        core.dialect().cacheChangesRequest(host, since, POLL_WAIT_MILLIS),
                         POLL_WAIT_MILLIS + EXTRA_TIMEOUT_MILLIS)
                 .subscribe(
                         (reply, failure) -> {
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -96,7 +96,7 @@
      * @param waitMillis The longest time that the target may wait for a change, in milliseconds.
      * @return The request.
      */
-    OutboundRequest keptChangesRequest(String host, long since, long waitMillis);
+    OutboundRequest cacheChangesRequest(String host, long since, long waitMillis);
 
     /**
      * Parses changes of a target's prompt cache.
