--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -105,7 +105,7 @@
     }
 
     private void applyChanges(BufferedResponse reply) {
-        CachedPartChanges changes = core.dialect().keptChanges(reply.body());
+        CachedPartChanges changes = core.dialect().parseCacheChanges(reply.body());
         since = changes.next();
         changes.parts().forEach(this::applyChange);
         core.log().cacheChangesReceived(changes.parts().size(), changes.lost());
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -104,7 +104,7 @@
      * @param body The body of the target's response.
      * @return The changes.
      */
-    CachedPartChanges keptChanges(Body body);
+    CachedPartChanges parseCacheChanges(Body body);
 
     /**
      * Tells whether a response was produced by a target rather than corrupted in transit.
