--- a/src/main/java/org/martenwell/gateway/AvailabilityNotice.java
+++ b/src/main/java/org/martenwell/gateway/AvailabilityNotice.java
@@ -4,7 +4,7 @@
  * A target's statement about its availability, read from the headers of a response.
  *
  * @param leaving {@code true} if the target is draining and takes no new requests.
- * @param restMillis The time for which the target asks this gateway to send nothing, in
+ * @param pauseMillis The time for which the target asks this gateway to send nothing, in
  *     milliseconds, or 0.
  */
-public record AvailabilityNotice(boolean leaving, long restMillis) {}
+public record AvailabilityNotice(boolean leaving, long pauseMillis) {}
--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -65,8 +65,8 @@
         if (notice.leaving() && availability.markDraining(NoticeSource.ANSWER, now)) {
             leaves(target.target().life(), NoticeSource.ANSWER);
         }
-        if (notice.restMillis() > 0 && availability.pause(notice.restMillis(), now)) {
-            log.pauseRequested(target.target().life(), notice.restMillis());
+        if (notice.pauseMillis() > 0 && availability.pause(notice.pauseMillis(), now)) {
+            log.pauseRequested(target.target().life(), notice.pauseMillis());
         }
     }
 }
