--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -200,7 +200,7 @@
      * @param incarnation The target's incarnation.
      * @param source The source that reported it first.
      */
-    void leaving(String incarnation, NoticeSource source) {
+    void draining(String incarnation, NoticeSource source) {
         String from = source.name().toLowerCase(Locale.ROOT);
         metrics.counter("targets_leaving_by_" + from).inc();
         if (mayWrite()) {
--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -54,7 +54,7 @@
 
     @Override
     public void leaves(String incarnation, NoticeSource source) {
-        log.leaving(incarnation, source);
+        log.draining(incarnation, source);
     }
 
     @Override
@@ -62,7 +62,7 @@
         AvailabilityNotice notice = dialect.notice(head, clock.millis());
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
-        if (notice.leaving() && availability.markDraining(NoticeSource.ANSWER, now)) {
+        if (notice.draining() && availability.markDraining(NoticeSource.ANSWER, now)) {
             leaves(target.target().life(), NoticeSource.ANSWER);
         }
         if (notice.pauseMillis() > 0 && availability.pause(notice.pauseMillis(), now)) {
