--- a/src/main/java/org/martenwell/gateway/StateLog.java
+++ b/src/main/java/org/martenwell/gateway/StateLog.java
@@ -76,7 +76,7 @@
             return;
         }
         long now = reactor.currentTimeMillis();
-        ProcessUsage.Interval used = usage.take();
+        ProcessUsage.Interval used = usage.measure();
         LOGGER.info(
                 LogEvent.of("state")
                         .with("overMillis", now - writtenMillis)
--- a/src/main/java/org/martenwell/observe/ProcessUsage.java
+++ b/src/main/java/org/martenwell/observe/ProcessUsage.java
@@ -43,7 +43,7 @@
      *
      * @return The usage, from the start of the process at the first call.
      */
-    public Interval take() {
+    public Interval measure() {
         Optional<UnixOperatingSystemMXBean> operatingSystem = operatingSystem();
         long processorTotal =
                 operatingSystem.map(each -> each.getProcessCpuTime() / NANOS_PER_MILLI).orElse(0L);
--- a/src/test/java/org/martenwell/observe/ProcessUsageTest.java
+++ b/src/test/java/org/martenwell/observe/ProcessUsageTest.java
@@ -17,12 +17,12 @@
     void testUsageIncludesOpenFilesAndTheirLimit(@TempDir Path folder) throws IOException {
         ProcessUsage usage = new ProcessUsage();
         Path file = Files.createFile(folder.resolve("file"));
-        long before = usage.take().descriptors();
+        long before = usage.measure().descriptors();
         List<InputStream> open = new ArrayList<>();
         for (int count = 0; count < 200; count++) {
             open.add(Files.newInputStream(file));
         }
-        ProcessUsage.Interval used = usage.take();
+        ProcessUsage.Interval used = usage.measure();
         for (InputStream each : open) {
             each.close();
         }
