--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -87,7 +87,7 @@
         headers.set(HttpHeaderNames.HOST, target.load().target().address().getHostString());
         OutboundRequest request =
                 new OutboundRequest(
-                        HttpMethod.GET, core.dialect().keptPartsPath(), headers, Body.EMPTY);
+                        HttpMethod.GET, core.dialect().cachedPartsPath(), headers, Body.EMPTY);
         caller.call(request, TIMEOUT_MILLIS)
                 .whenResult(reply -> storeParts(target, reply))
                 .whenComplete(caller::close);
@@ -105,7 +105,7 @@
             return;
         }
         String incarnation = target.load().target().life();
-        for (CachedPart each : core.dialect().keptParts(reply.body())) {
+        for (CachedPart each : core.dialect().parseCachedParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().promptCache().put(key, tokens, core.promptCacheCapacity(target.load()));
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -78,7 +78,7 @@
      *
      * @return The path.
      */
-    String keptPartsPath();
+    String cachedPartsPath();
 
     /**
      * Parses a target's list of cached prompt parts.
@@ -86,7 +86,7 @@
      * @param body The body of the target's response.
      * @return The cached parts.
      */
-    List<CachedPart> keptParts(Body body);
+    List<CachedPart> parseCachedParts(Body body);
 
     /**
      * Builds the long-polling request for changes of a target's prompt cache.
@@ -96,7 +96,7 @@
      * @param waitMillis The longest time that the target may wait for a change, in milliseconds.
      * @return The request.
      */
-    OutboundRequest keptChangesRequest(String host, long since, long waitMillis);
+    OutboundRequest cacheChangesRequest(String host, long since, long waitMillis);
 
     /**
      * Parses changes of a target's prompt cache.
@@ -104,7 +104,7 @@
      * @param body The body of the target's response.
      * @return The changes.
      */
-    CachedPartChanges keptChanges(Body body);
+    CachedPartChanges parseCacheChanges(Body body);
 
     /**
      * Tells whether a response was produced by a target rather than corrupted in transit.
