--- a/src/main/java/org/martenwell/directory/HeldRequestForms.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestJson.java
@@ -12,13 +12,13 @@
 import org.martenwell.quarantine.RequestSummary;
 
 /** The form of requests that are held back in a store. The object's name is the fingerprint. */
-final class HeldRequestForms {
+final class HeldRequestJson {
 
     /** Since when it is held back, in milliseconds since 1970. */
     private static final String SINCE = "sinceMillis";
 
     /** The lives of targets that ended under it. */
-    private static final String LIVES = "targetsEnded";
+    private static final String INCARNATIONS = "targetsEnded";
 
     /** The name of the gateway that made it known. */
     private static final String GATEWAY = "gateway";
@@ -36,7 +36,7 @@
     private static final String ORGANISATION = "organisation";
 
     /** Not instantiated. */
-    private HeldRequestForms() {}
+    private HeldRequestJson() {}
 
     /**
      * Writes a request.
@@ -52,8 +52,8 @@
         value.put(ORGANISATION, request.summary().organisation());
         value.put(GATEWAY, request.gateway());
         value.put(SINCE, request.sinceMillis());
-        ArrayNode lives = value.putArray(LIVES);
-        request.lives().forEach(lives::add);
+        ArrayNode incarnations = value.putArray(INCARNATIONS);
+        request.lives().forEach(incarnations::add);
         return value;
     }
 
@@ -79,7 +79,7 @@
                                                 value.path(HOST).asText(""),
                                                 value.path(PATH).asText(""),
                                                 value.path(ORGANISATION).asText("")),
-                                        lives(value.path(LIVES)),
+                                        readIncarnations(value.path(INCARNATIONS)),
                                         value.path(GATEWAY).asText(""),
                                         value.path(SINCE).asLong()));
     }
@@ -90,9 +90,9 @@
      * @param list The lives.
      * @return The lives.
      */
-    private static Set<String> lives(JsonNode list) {
-        Set<String> lives = new LinkedHashSet<>();
-        list.forEach(each -> lives.add(each.asText("")));
-        return lives;
+    private static Set<String> readIncarnations(JsonNode list) {
+        Set<String> incarnations = new LinkedHashSet<>();
+        list.forEach(each -> incarnations.add(each.asText("")));
+        return incarnations;
     }
 }
--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -24,7 +24,7 @@
     private static final Logger LOGGER = LogManager.getLogger(HeldRequestStore.class);
 
     /** How long after a failure a request is written again, in milliseconds. */
-    private static final long AGAIN_MILLIS = 1_000;
+    private static final long RETRY_MILLIS = 1_000;
 
     /** The loop. */
     private final NioReactor reactor;
@@ -75,8 +75,8 @@
         this.poller =
                 new KindPoller(
                         new KindSource(reactor, store, kind, random),
-                        PollPace.HELD_REQUESTS,
-                        this::take);
+                        PollInterval.HELD_REQUESTS,
+                        this::apply);
     }
 
     @Override
@@ -120,12 +120,12 @@
         if (stopped || !unwritten.contains(request.fingerprint())) {
             return;
         }
-        store.create(kind, request.fingerprint().toString(), HeldRequestForms.write(request))
+        store.create(kind, request.fingerprint().toString(), HeldRequestJson.write(request))
                 .whenResult(() -> unwritten.remove(request.fingerprint()))
                 .whenException(
                         failure -> {
-                            tell("held-request-unwritten", request.fingerprint(), failure);
-                            reactor.delayBackground(AGAIN_MILLIS, () -> write(request));
+                            logFailure("held-request-unwritten", request.fingerprint(), failure);
+                            reactor.delayBackground(RETRY_MILLIS, () -> write(request));
                         });
     }
 
@@ -137,7 +137,7 @@
      */
     private void remove(String name, Optional<Long> revision) {
         store.remove(kind, name, revision)
-                .whenException(failure -> tell("held-request-unremoved", name, failure));
+                .whenException(failure -> logFailure("held-request-unremoved", name, failure));
     }
 
     /**
@@ -146,14 +146,14 @@
      *
      * @param entries Their objects.
      */
-    private void take(Map<String, StoredEntry> entries) {
-        long before = clock.millis() - Quarantine.HELD_MILLIS;
+    private void apply(Map<String, StoredEntry> entries) {
+        long expiredBefore = clock.millis() - Quarantine.HELD_MILLIS;
         Map<Fingerprint, HeldRequest> held = new HashMap<>();
         for (StoredEntry each : entries.values()) {
-            Optional<HeldRequest> request = HeldRequestForms.read(each);
+            Optional<HeldRequest> request = HeldRequestJson.read(each);
             if (request.isEmpty()) {
                 listener.unreadable(each.name(), "It is no request that is held back.");
-            } else if (request.get().sinceMillis() < before) {
+            } else if (request.get().sinceMillis() < expiredBefore) {
                 remove(each.name(), Optional.of(each.revision()));
             } else {
                 held.put(request.get().fingerprint(), request.get());
@@ -169,7 +169,7 @@
      * @param name The request.
      * @param failure Why.
      */
-    private static void tell(String event, Object name, Exception failure) {
+    private static void logFailure(String event, Object name, Exception failure) {
         LOGGER.warn(
                 LogEvent.of(event)
                         .with("fingerprint", name)
--- a/src/main/java/org/martenwell/directory/KindListing.java
+++ b/src/main/java/org/martenwell/directory/KindListing.java
@@ -25,7 +25,7 @@
      */
     static Promise<KindListing> of(ObjectStore store, String kind, Freshness freshness) {
         return store.list(kind, Optional.empty(), freshness)
-                .then(page -> goOn(store, kind, freshness, page, begin(page)));
+                .then(page -> followingPages(store, kind, freshness, page, firstPage(page)));
     }
 
     /**
@@ -38,7 +38,7 @@
      * @param listed The listing up to this page; its entries receive the others.
      * @return The objects.
      */
-    private static Promise<KindListing> goOn(
+    private static Promise<KindListing> followingPages(
             ObjectStore store,
             String kind,
             Freshness freshness,
@@ -53,7 +53,7 @@
                 .then(
                         next -> {
                             next.entries().forEach(each -> listed.entries.put(each.name(), each));
-                            return goOn(store, kind, freshness, next, listed);
+                            return followingPages(store, kind, freshness, next, listed);
                         });
     }
 
@@ -63,7 +63,7 @@
      * @param page The first page.
      * @return The listing of that page alone.
      */
-    private static KindListing begin(EntryPage page) {
+    private static KindListing firstPage(EntryPage page) {
         Map<String, StoredEntry> entries = new HashMap<>();
         page.entries().forEach(each -> entries.put(each.name(), each));
         return new KindListing(entries, page.revision());
--- a/src/main/java/org/martenwell/directory/KindPoller.java
+++ b/src/main/java/org/martenwell/directory/KindPoller.java
@@ -17,25 +17,25 @@
     private static final long SETTLE_MILLIS = 1_500;
 
     /** The shortest time between a list and a refresh, in milliseconds. */
-    private static final long REFRESH_MILLIS = 500;
+    private static final long MIN_REFRESH_MILLIS = 500;
 
     /** How long it is from a failure to the next list before the first one, in milliseconds. */
-    private static final long FIRST_FAILURE_MILLIS = 400;
+    private static final long INITIAL_RETRY_MILLIS = 400;
 
     /**
      * How long it is from a later failure to the next list, in milliseconds. Who joined or left
      * meanwhile is heard of by reports; what a gateway must not miss other kinds bring.
      */
-    private static final long FAILURE_MILLIS = 1_500;
+    private static final long RETRY_MILLIS = 1_500;
 
     /** Where the objects come from. */
     private final KindSource source;
 
     /** Whether the store answers. */
-    private final StoreContact contact;
+    private final StoreAvailability availability;
 
     /** How often the objects are listed. */
-    private final PollPace pace;
+    private final PollInterval interval;
 
     /** Is told of all objects after each change. */
     private final Consumer<Map<String, StoredEntry>> listener;
@@ -47,26 +47,27 @@
     private long revision = -1;
 
     /** How many fresh lists are due before stale ones do. */
-    private int freshDue;
+    private int freshListsDue;
 
     /** When the last list began, in milliseconds. */
-    private long beganMillis = Long.MIN_VALUE / 2;
+    private long listStartedMillis = Long.MIN_VALUE / 2;
 
     /** Counts lists and stops; what an earlier one brings is dropped. */
-    private int round;
+    private int generation;
 
     /**
      * Creates a poller.
      *
      * @param source Where the objects come from.
-     * @param pace How often they are listed.
+     * @param interval How often they are listed.
      * @param listener Is told of all objects after each change.
      */
-    KindPoller(KindSource source, PollPace pace, Consumer<Map<String, StoredEntry>> listener) {
+    KindPoller(
+            KindSource source, PollInterval interval, Consumer<Map<String, StoredEntry>> listener) {
         this.source = source;
-        this.pace = pace;
-        this.freshDue = pace.freshLists();
-        this.contact = new StoreContact(source);
+        this.interval = interval;
+        this.freshListsDue = interval.freshLists();
+        this.availability = new StoreAvailability(source);
         this.listener = listener;
     }
 
@@ -78,13 +79,13 @@
 
     @Override
     public Promise<Void> stop() {
-        round++;
+        generation++;
         return Promise.complete();
     }
 
     /** Asks for a fresh list, unless one began a moment ago. */
     public void refresh() {
-        if (source.now() - beganMillis >= REFRESH_MILLIS) {
+        if (source.now() - listStartedMillis >= MIN_REFRESH_MILLIS) {
             list(Freshness.CURRENT);
         }
     }
@@ -95,20 +96,20 @@
      * @param freshness How fresh the list must be.
      */
     private void list(Freshness freshness) {
-        int present = ++round;
-        beganMillis = source.now();
+        int callGeneration = ++generation;
+        listStartedMillis = source.now();
         source.list(freshness)
                 .subscribe(
                         (listing, failure) -> {
-                            if (present != round) {
+                            if (callGeneration != generation) {
                                 return;
                             }
                             if (failure != null) {
-                                contact.listFailed(beganMillis, failure);
-                                listLater(failureMillis(), Freshness.CURRENT);
+                                availability.listFailed(listStartedMillis, failure);
+                                listLater(retryMillis(), Freshness.CURRENT);
                             } else {
-                                contact.answered();
-                                take(listing);
+                                availability.responded();
+                                apply(listing);
                             }
                         });
     }
@@ -118,7 +119,7 @@
      *
      * @param listing The list.
      */
-    private void take(KindListing listing) {
+    private void apply(KindListing listing) {
         if (listing.revision() >= revision) {
             boolean changed = revision < 0 || !listing.entries().equals(entries);
             revision = listing.revision();
@@ -127,11 +128,11 @@
                 listener.accept(Map.copyOf(entries));
             }
         }
-        freshDue = Math.max(0, freshDue - 1);
-        if (freshDue > 0) {
+        freshListsDue = Math.max(0, freshListsDue - 1);
+        if (freshListsDue > 0) {
             listLater(SETTLE_MILLIS, Freshness.CURRENT);
         } else {
-            listLater(pace.millis(entries.size()), Freshness.STALE);
+            listLater(interval.millis(entries.size()), Freshness.STALE);
         }
     }
 
@@ -140,8 +141,8 @@
      *
      * @return The mean time in milliseconds.
      */
-    private long failureMillis() {
-        return revision < 0 ? FIRST_FAILURE_MILLIS : FAILURE_MILLIS;
+    private long retryMillis() {
+        return revision < 0 ? INITIAL_RETRY_MILLIS : RETRY_MILLIS;
     }
 
     /**
@@ -151,11 +152,11 @@
      * @param freshness How fresh the list must be.
      */
     private void listLater(long millis, Freshness freshness) {
-        int present = round;
-        source.spread(
+        int callGeneration = generation;
+        source.delayWithJitter(
                 millis,
                 () -> {
-                    if (present == round) {
+                    if (callGeneration == generation) {
                         list(freshness);
                     }
                 });
--- a/src/main/java/org/martenwell/directory/KindSource.java
+++ b/src/main/java/org/martenwell/directory/KindSource.java
@@ -50,7 +50,7 @@
      * @param millis The time until then, in milliseconds.
      * @param task The task.
      */
-    void later(long millis, Runnable task) {
+    void delay(long millis, Runnable task) {
         reactor.delayBackground(millis, task);
     }
 
@@ -60,7 +60,7 @@
      * @param meanMillis The mean of the time until then, in milliseconds.
      * @param task The task.
      */
-    void spread(long meanMillis, Runnable task) {
-        later(meanMillis / 2 + random.nextLong(meanMillis), task);
+    void delayWithJitter(long meanMillis, Runnable task) {
+        delay(meanMillis / 2 + random.nextLong(meanMillis), task);
     }
 }
--- a/src/main/java/org/martenwell/directory/KindFollower.java
+++ b/src/main/java/org/martenwell/directory/KindWatcher.java
@@ -16,39 +16,39 @@
  * store has lost its history or a watch broke. A store that loses its history may have told nothing
  * for a while before, though its revision rose, so that going on from there would miss changes.
  * While the store does not answer, what was last known stays, and what is missing when it is back
- * stays for a while longer; see {@link LapsedEntries}.
+ * stays for a while longer; see {@link RetainedEntries}.
  */
-final class KindFollower implements ManagedService {
+final class KindWatcher implements ManagedService {
 
     /** The log. */
-    private static final Logger LOGGER = LogManager.getLogger(KindFollower.class);
+    private static final Logger LOGGER = LogManager.getLogger(KindWatcher.class);
 
     /** The first delay after a failure, in milliseconds. */
-    private static final long FIRST_DELAY_MILLIS = 40;
+    private static final long INITIAL_DELAY_MILLIS = 40;
 
     /**
      * The longest mean delay after a failure, in milliseconds. With 0.4 s to connect and 1.5 times
      * the mean, two attempts in a row may fail and a gateway still catches up within 3 s.
      */
-    private static final long LONGEST_DELAY_MILLIS = 600;
+    private static final long MAX_DELAY_MILLIS = 600;
 
     /**
      * How long lapsed entries count behind the first list, in milliseconds: owners enter themselves
      * again within about 2 s of the store's return.
      */
-    private static final long LAPSED_MILLIS = 1_800;
+    private static final long RETENTION_MILLIS = 1_800;
 
     /**
      * How long lapsed entries count at most behind the earliest moment at which the store can have
      * been back, in milliseconds: a gateway that is back must have caught up within 3 s.
      */
-    private static final long CAUGHT_UP_MILLIS = 2_800;
+    private static final long MAX_CATCH_UP_MILLIS = 2_800;
 
     /** Where the objects come from. */
     private final KindSource source;
 
     /** Returns how the store is watched. */
-    private final Supplier<WatchPace> pace;
+    private final Supplier<WatchTiming> timing;
 
     /** Returns the group of an object, within which objects stand in for each other. */
     private final Function<StoredEntry, String> group;
@@ -60,10 +60,10 @@
     private Map<String, StoredEntry> entries = new HashMap<>();
 
     /** The objects that were missing after the last outage. */
-    private LapsedEntries lapsed = LapsedEntries.NONE;
+    private RetainedEntries retained = RetainedEntries.NONE;
 
     /** Whether the store answers. */
-    private final StoreContact contact;
+    private final StoreAvailability availability;
 
     /** The revision from which to go on. */
     private long revision;
@@ -72,84 +72,84 @@
     private boolean listDue = true;
 
     /** The next delay after a failure, in milliseconds. */
-    private long delayMillis = FIRST_DELAY_MILLIS;
+    private long delayMillis = INITIAL_DELAY_MILLIS;
 
     /** Counts restarts; what earlier rounds bring is dropped. */
-    private int round;
+    private int generation;
 
     /**
      * Creates a follower.
      *
      * @param source Where the objects come from.
-     * @param pace Returns how the store is watched.
+     * @param timing Returns how the store is watched.
      * @param group Returns the group of an object, within which objects stand in for each other.
      * @param listener Is told of all objects after each change.
      */
-    KindFollower(
+    KindWatcher(
             KindSource source,
-            Supplier<WatchPace> pace,
+            Supplier<WatchTiming> timing,
             Function<StoredEntry, String> group,
             Consumer<Map<String, StoredEntry>> listener) {
         this.source = source;
-        this.contact = new StoreContact(source);
-        this.pace = pace;
+        this.availability = new StoreAvailability(source);
+        this.timing = timing;
         this.group = group;
         this.listener = listener;
     }
 
     @Override
     public Promise<Void> start() {
-        step(round);
+        next(generation);
         return Promise.complete();
     }
 
     @Override
     public Promise<Void> stop() {
-        round++;
+        generation++;
         return Promise.complete();
     }
 
     /** Lists all objects at once. */
     public void refresh() {
-        round++;
+        generation++;
         listDue = true;
-        step(round);
+        next(generation);
     }
 
     /**
      * Makes the next call.
      *
-     * @param present The round.
+     * @param callGeneration The round.
      */
-    private void step(int present) {
-        if (present != round) {
+    private void next(int callGeneration) {
+        if (callGeneration != generation) {
             return;
         }
         if (listDue) {
-            list(present);
+            list(callGeneration);
         } else {
-            watch(present);
+            watch(callGeneration);
         }
     }
 
     /**
      * Lists all objects.
      *
-     * @param present The round.
+     * @param callGeneration The round.
      */
-    private void list(int present) {
-        long began = source.now();
+    private void list(int callGeneration) {
+        long startedMillis = source.now();
         source.list(Freshness.CURRENT)
                 .subscribe(
                         (listing, failure) -> {
-                            if (present != round) {
+                            if (callGeneration != generation) {
                                 return;
                             }
                             if (failure != null) {
-                                contact.listFailed(began, failure);
-                                retryLater(present);
+                                availability.listFailed(startedMillis, failure);
+                                retryLater(callGeneration);
                             } else {
-                                listed(present, listing);
+                                applyListing(callGeneration, listing);
                             }
                         });
     }
@@ -157,20 +157,20 @@
     /**
      * Takes in all objects.
      *
-     * @param present The round.
+     * @param callGeneration The round.
      * @param listing The objects.
      */
-    private void listed(int present, KindListing listing) {
-        delayMillis = FIRST_DELAY_MILLIS;
+    private void applyListing(int callGeneration, KindListing listing) {
+        delayMillis = INITIAL_DELAY_MILLIS;
         listDue = false;
-        if (contact.away()) {
-            keepLapsed(listing.entries());
+        if (availability.unavailable()) {
+            retainMissing(listing.entries());
         }
-        contact.answered();
+        availability.responded();
         entries = listing.entries();
         revision = listing.revision();
-        tell();
-        step(present);
+        notifyListener();
+        next(callGeneration);
     }
 
     /**
@@ -178,49 +178,52 @@
      *
      * @param listed The objects that the store holds now.
      */
-    private void keepLapsed(Map<String, StoredEntry> listed) {
+    private void retainMissing(Map<String, StoredEntry> listed) {
         long now = source.now();
-        Map<String, StoredEntry> before = lapsed.under(entries, now);
-        long until = Math.min(now + LAPSED_MILLIS, contact.awayAtMillis() + CAUGHT_UP_MILLIS);
-        lapsed = LapsedEntries.of(before, listed, group, until);
+        Map<String, StoredEntry> before = retained.mergedInto(entries, now);
+        long until =
+                Math.min(
+                        now + RETENTION_MILLIS,
+                        availability.lastFailedListMillis() + MAX_CATCH_UP_MILLIS);
+        retained = RetainedEntries.of(before, listed, group, until);
         LOGGER.info(
                 LogEvent.of("store-regained")
                         .with("kind", source.kind())
-                        .with("awayMillis", contact.awayMillis())
+                        .with("awayMillis", availability.unavailableMillis())
                         .with("listed", listed.size())
-                        .with("kept", lapsed.names())
+                        .with("kept", retained.names())
                         .message());
-        if (!lapsed.isEmpty()) {
-            source.later(Math.max(0, until - now), this::tell);
+        if (!retained.isEmpty()) {
+            source.delay(Math.max(0, until - now), this::notifyListener);
         }
     }
 
     /** Tells the listener of all objects. */
-    private void tell() {
-        listener.accept(lapsed.under(entries, source.now()));
+    private void notifyListener() {
+        listener.accept(retained.mergedInto(entries, source.now()));
     }
 
     /**
      * Waits for changes.
      *
-     * @param present The round.
+     * @param callGeneration The round.
      */
-    private void watch(int present) {
-        source.watch(revision, pace.get().waitMillis())
+    private void watch(int callGeneration) {
+        source.watch(revision, timing.get().waitMillis())
                 .subscribe(
                         (changes, failure) -> {
-                            if (present != round) {
+                            if (callGeneration != generation) {
                                 return;
                             }
                             if (failure != null) {
-                                contact.watchFailed(failure);
+                                availability.watchFailed(failure);
                                 listDue = true;
-                                retryLater(present);
+                                retryLater(callGeneration);
                             } else if (changes.lost()) {
                                 listDue = true;
-                                step(present);
+                                next(callGeneration);
                             } else {
-                                take(present, changes);
+                                apply(callGeneration, changes);
                             }
                         });
     }
@@ -228,12 +231,12 @@
     /**
      * Takes changes in.
      *
-     * @param present The round.
+     * @param callGeneration The round.
      * @param changes The changes.
      */
-    private void take(int present, EntryChanges changes) {
-        delayMillis = FIRST_DELAY_MILLIS;
-        contact.answered();
+    private void apply(int callGeneration, EntryChanges changes) {
+        delayMillis = INITIAL_DELAY_MILLIS;
+        availability.responded();
         for (EntryChange each : changes.changes()) {
             if (each.gone()) {
                 entries.remove(each.entry().name());
@@ -243,20 +246,20 @@
         }
         revision = Math.max(revision, changes.revision());
         if (changes.changes().isEmpty()) {
-            step(present);
+            next(callGeneration);
         } else {
-            tell();
-            source.later(pace.get().gatherMillis(), () -> step(present));
+            notifyListener();
+            source.delay(timing.get().batchMillis(), () -> next(callGeneration));
         }
     }
 
     /**
      * Tries again after a delay that grows.
      *
-     * @param present The round.
+     * @param callGeneration The round.
      */
-    private void retryLater(int present) {
-        source.spread(delayMillis, () -> step(present));
-        delayMillis = Math.min(LONGEST_DELAY_MILLIS, delayMillis * 2);
+    private void retryLater(int callGeneration) {
+        source.delayWithJitter(delayMillis, () -> next(callGeneration));
+        delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
     }
 }
--- a/src/main/java/org/martenwell/directory/LapsedEntries.java
+++ b/src/main/java/org/martenwell/directory/RetainedEntries.java
@@ -14,10 +14,10 @@
  * <p>An outage of the store lapses the entries of all owners alike, while few owners leave at a
  * time. So missing entries are kept only in groups that lost at least as many entries as they have.
  */
-final class LapsedEntries {
+final class RetainedEntries {
 
     /** No lapsed entries. */
-    static final LapsedEntries NONE = new LapsedEntries(Map.of(), Long.MIN_VALUE);
+    static final RetainedEntries NONE = new RetainedEntries(Map.of(), Long.MIN_VALUE);
 
     /** The lapsed entries by name. */
     private final Map<String, StoredEntry> entries;
@@ -31,7 +31,7 @@
      * @param entries The entries by name.
      * @param untilMillis Until when they count, in milliseconds.
      */
-    private LapsedEntries(Map<String, StoredEntry> entries, long untilMillis) {
+    private RetainedEntries(Map<String, StoredEntry> entries, long untilMillis) {
         this.entries = entries;
         this.untilMillis = untilMillis;
     }
@@ -45,23 +45,23 @@
      * @param untilMillis Until when the lapsed ones count, in milliseconds.
      * @return Those that are missing, without those that have left.
      */
-    static LapsedEntries of(
+    static RetainedEntries of(
             Map<String, StoredEntry> before,
             Map<String, StoredEntry> after,
             Function<StoredEntry, String> group,
             long untilMillis) {
         Map<String, StoredEntry> missing = new HashMap<>(before);
         missing.keySet().removeAll(after.keySet());
-        Map<String, Long> lost = sizes(missing, group);
-        Map<String, Long> present = sizes(after, group);
+        Map<String, Long> missingCounts = countByGroup(missing, group);
+        Map<String, Long> presentCounts = countByGroup(after, group);
         // A departed target that counts as ready got requests until 3.4 s after a cut of 12 s.
         missing.values()
                 .removeIf(
                         each -> {
                             String name = group.apply(each);
-                            return lost.get(name) < present.getOrDefault(name, 0L);
+                            return missingCounts.get(name) < presentCounts.getOrDefault(name, 0L);
                         });
-        return missing.isEmpty() ? NONE : new LapsedEntries(missing, untilMillis);
+        return missing.isEmpty() ? NONE : new RetainedEntries(missing, untilMillis);
     }
 
     /**
@@ -71,7 +71,7 @@
      * @param group Returns the group of an entry.
      * @return The number of entries by group.
      */
-    private static Map<String, Long> sizes(
+    private static Map<String, Long> countByGroup(
             Map<String, StoredEntry> entries, Function<StoredEntry, String> group) {
         return entries.values().stream()
                 .collect(Collectors.groupingBy(group, Collectors.counting()));
@@ -102,7 +102,7 @@
      * @param now The present time, in milliseconds.
      * @return All entries by name.
      */
-    Map<String, StoredEntry> under(Map<String, StoredEntry> present, long now) {
+    Map<String, StoredEntry> mergedInto(Map<String, StoredEntry> present, long now) {
         Map<String, StoredEntry> all = new HashMap<>();
         if (now < untilMillis) {
             all.putAll(entries);
--- a/src/main/java/org/martenwell/directory/StoreContact.java
+++ b/src/main/java/org/martenwell/directory/StoreAvailability.java
@@ -5,34 +5,34 @@
 import org.martenwell.observe.LogEvent;
 
 /** Notes when the store last answered about the objects of one kind, and logs when it does not. */
-final class StoreContact {
+final class StoreAvailability {
 
     /** The log. */
-    private static final Logger LOGGER = LogManager.getLogger(StoreContact.class);
+    private static final Logger LOGGER = LogManager.getLogger(StoreAvailability.class);
 
     /** Where the objects come from. */
     private final KindSource source;
 
     /** When the store last answered, in milliseconds; first when this gateway began to ask. */
-    private long answeredMillis;
+    private long lastResponseMillis;
 
     /** Whether the last list failed, so that the store is away. */
-    private boolean away;
+    private boolean unavailable;
 
     /** When the first list of the present outage failed, in milliseconds. */
-    private long awaySinceMillis;
+    private long unavailableSinceMillis;
 
     /** When the last list that failed began, in milliseconds; the store was away then. */
-    private long awayAtMillis;
+    private long lastFailedListMillis;
 
     /**
      * Creates a contact that was not lost.
      *
      * @param source Where the objects come from.
      */
-    StoreContact(KindSource source) {
+    StoreAvailability(KindSource source) {
         this.source = source;
-        this.answeredMillis = source.now();
+        this.lastResponseMillis = source.now();
     }
 
     /**
@@ -40,8 +40,8 @@
      *
      * @return {@code true} if the last list failed.
      */
-    boolean away() {
-        return away;
+    boolean unavailable() {
+        return unavailable;
     }
 
     /**
@@ -49,8 +49,8 @@
      *
      * @return The time in milliseconds.
      */
-    long awayAtMillis() {
-        return awayAtMillis;
+    long lastFailedListMillis() {
+        return lastFailedListMillis;
     }
 
     /**
@@ -58,14 +58,14 @@
      *
      * @return The time in milliseconds.
      */
-    long awayMillis() {
-        return source.now() - awaySinceMillis;
+    long unavailableMillis() {
+        return source.now() - unavailableSinceMillis;
     }
 
     /** Notes that the store answered. */
-    void answered() {
-        away = false;
-        answeredMillis = source.now();
+    void responded() {
+        unavailable = false;
+        lastResponseMillis = source.now();
     }
 
     /**
@@ -80,14 +80,14 @@
     /**
      * Notes that a list failed. Only the first one of an outage is logged.
      *
-     * @param began When it began, in milliseconds.
+     * @param startedMillis When it began, in milliseconds.
      * @param failure Why.
      */
-    void listFailed(long began, Exception failure) {
-        awayAtMillis = began;
-        if (!away) {
-            away = true;
-            awaySinceMillis = source.now();
+    void listFailed(long startedMillis, Exception failure) {
+        lastFailedListMillis = startedMillis;
+        if (!unavailable) {
+            unavailable = true;
+            unavailableSinceMillis = source.now();
             warn("store-lost", failure);
         }
     }
@@ -103,7 +103,7 @@
                 LogEvent.of(event)
                         .with("kind", source.kind())
                         .with("reason", failure.getMessage())
-                        .with("ageMillis", source.now() - answeredMillis)
+                        .with("ageMillis", source.now() - lastResponseMillis)
                         .message());
     }
 }
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -39,10 +39,10 @@
     private static final String PROCESSORS = "processors";
 
     /** How long until this gateway makes itself known again after a failure, in milliseconds. */
-    private static final long JOIN_MILLIS = 500;
+    private static final long JOIN_RETRY_MILLIS = 500;
 
     /** How long after joining a list may lack this gateway, in milliseconds. */
-    private static final long JOINED_MILLIS = 8_000;
+    private static final long JOIN_GRACE_MILLIS = 8_000;
 
     /** The loop. */
     private final NioReactor reactor;
@@ -60,10 +60,10 @@
     private final DirectoryListener listener;
 
     /** Follows the configuration. */
-    private final KindFollower configurations;
+    private final KindWatcher configurations;
 
     /** Follows targets. */
-    private final KindFollower targets;
+    private final KindWatcher targets;
 
     /** Follows gateways. */
     private final KindPoller gateways;
@@ -109,22 +109,22 @@
         this.joinedMillis = reactor.currentTimeMillis();
         Random random = new Random(self.name().hashCode());
         this.configurations =
-                new KindFollower(
+                new KindWatcher(
                         new KindSource(reactor, store, reader.configurationKind(), random),
-                        this::pace,
+                        this::watchTiming,
                         entry -> reader.configurationKind(),
-                        this::takeConfigurations);
+                        this::applyConfigurations);
         this.targets =
-                new KindFollower(
+                new KindWatcher(
                         new KindSource(reactor, store, reader.targetKind(), random),
-                        this::pace,
+                        this::watchTiming,
                         this::service,
-                        this::takeTargets);
+                        this::applyTargets);
         this.gateways =
                 new KindPoller(
                         new KindSource(reactor, store, reader.gatewayKind(), random),
-                        PollPace.GATEWAYS,
-                        this::takeGateways);
+                        PollInterval.GATEWAYS,
+                        this::applyGateways);
         this.heldRequests =
                 new HeldRequestStore(
                         reactor,
@@ -157,7 +157,7 @@
 
     @Override
     public void passedOn(String document) {
-        take(Json.read(document.getBytes(StandardCharsets.UTF_8)));
+        applyConfiguration(Json.read(document.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Override
@@ -200,8 +200,8 @@
      *
      * @return The pace.
      */
-    private WatchPace pace() {
-        return WatchPace.of(members.size());
+    private WatchTiming watchTiming() {
+        return WatchTiming.of(members.size());
     }
 
     /**
@@ -224,7 +224,7 @@
         try {
             return Optional.of(reader.target(entry.name(), entry.value()));
         } catch (MartenwellException exception) {
-            tellUnreadable(entry, exception.getMessage());
+            reportUnreadable(entry, exception.getMessage());
             return Optional.empty();
         }
     }
@@ -235,17 +235,17 @@
      * @param entry The entry.
      * @param reason What is wrong with it.
      */
-    private void tellUnreadable(StoredEntry entry, String reason) {
-        Long told = unreadable.put(entry.name(), entry.revision());
-        if (told == null || told != entry.revision()) {
+    private void reportUnreadable(StoredEntry entry, String reason) {
+        Long reportedRevision = unreadable.put(entry.name(), entry.revision());
+        if (reportedRevision == null || reportedRevision != entry.revision()) {
             listener.unreadable(entry.name(), reason);
         }
     }
 
     /** Makes this gateway known again if another one took it for gone. */
-    private void joinAgainIfRemoved() {
-        boolean old = reactor.currentTimeMillis() - joinedMillis > JOINED_MILLIS;
-        if (old && !members.containsKey(self.name())) {
+    private void rejoinIfRemoved() {
+        boolean graceExpired = reactor.currentTimeMillis() - joinedMillis > JOIN_GRACE_MILLIS;
+        if (graceExpired && !members.containsKey(self.name())) {
             joinedMillis = reactor.currentTimeMillis();
             join();
         }
@@ -262,7 +262,7 @@
         value.put(PROCESSORS, self.processors());
         store.put(reader.gatewayKind(), self.name(), value)
                 .whenResult(() -> joinedMillis = reactor.currentTimeMillis())
-                .whenException(exception -> reactor.delayBackground(JOIN_MILLIS, this::join));
+                .whenException(exception -> reactor.delayBackground(JOIN_RETRY_MILLIS, this::join));
     }
 
     /**
@@ -270,10 +270,10 @@
      *
      * @param entries All objects of their kind.
      */
-    private void takeConfigurations(Map<String, StoredEntry> entries) {
+    private void applyConfigurations(Map<String, StoredEntry> entries) {
         StoredEntry present = entries.get(reader.configurationName());
         if (present != null) {
-            take(present.value());
+            applyConfiguration(present.value());
         }
     }
 
@@ -282,7 +282,7 @@
      *
      * @param document The configuration's document.
      */
-    private void take(JsonNode document) {
+    private void applyConfiguration(JsonNode document) {
         GatewayConfiguration configuration;
         try {
             configuration = reader.configuration(document);
@@ -305,14 +305,15 @@
      *
      * @param entries All objects of their kind.
      */
-    private void takeTargets(Map<String, StoredEntry> entries) {
+    private void applyTargets(Map<String, StoredEntry> entries) {
         Map<String, DirectoryTarget> all = new HashMap<>();
         for (StoredEntry each : entries.values()) {
             target(each).ifPresent(target -> all.put(target.id(), target));
         }
-        for (DirectoryTarget each : UndatedTargets.of(all.values())) {
+        for (DirectoryTarget each : TargetsWithoutStart.of(all.values())) {
             all.remove(each.id());
-            tellUnreadable(entries.get(each.id()), "The start is missing, which most others tell.");
+            reportUnreadable(
+                    entries.get(each.id()), "The start is missing, which most others tell.");
         }
         unreadable.keySet().retainAll(entries.keySet());
         listener.targets(all);
@@ -323,9 +324,9 @@
      *
      * @param entries All objects of their kind.
      */
-    private void takeGateways(Map<String, StoredEntry> entries) {
+    private void applyGateways(Map<String, StoredEntry> entries) {
         members = entries;
-        joinAgainIfRemoved();
+        rejoinIfRemoved();
         Map<String, GatewayMember> all = new HashMap<>();
         for (StoredEntry each : entries.values()) {
             String address = each.value().path(PEER_ADDRESS).asText("");
--- a/src/main/java/org/martenwell/directory/UndatedTargets.java
+++ b/src/main/java/org/martenwell/directory/TargetsWithoutStart.java
@@ -7,10 +7,10 @@
  * Finds targets whose entries lack their start although most others tell theirs. Such an entry is
  * not the target's own. At a deployment where targets do not tell their starts, none is found.
  */
-final class UndatedTargets {
+final class TargetsWithoutStart {
 
     /** Not instantiated. */
-    private UndatedTargets() {}
+    private TargetsWithoutStart() {}
 
     /**
      * Finds them.
@@ -19,8 +19,8 @@
      * @return Those that tell no start, if more than half of all do.
      */
     static List<DirectoryTarget> of(Collection<DirectoryTarget> targets) {
-        List<DirectoryTarget> undated =
+        List<DirectoryTarget> withoutStart =
                 targets.stream().filter(each -> each.bornMillis().isEmpty()).toList();
-        return 2 * undated.size() < targets.size() ? undated : List.of();
+        return 2 * withoutStart.size() < targets.size() ? withoutStart : List.of();
     }
 }
--- a/src/main/java/org/martenwell/directory/WatchPace.java
+++ b/src/main/java/org/martenwell/directory/WatchTiming.java
@@ -6,24 +6,24 @@
  * from peers: newer configurations and targets that leave.
  *
  * @param waitMillis How long the store may wait for a change, in milliseconds.
- * @param gatherMillis How long changes are gathered before the next watch, in milliseconds.
+ * @param batchMillis How long changes are gathered before the next watch, in milliseconds.
  */
-record WatchPace(long waitMillis, long gatherMillis) {
+record WatchTiming(long waitMillis, long batchMillis) {
 
     /** How long the store may wait in the smallest fleet, in milliseconds. */
-    private static final long LEAST_WAIT_MILLIS = 5_000;
+    private static final long MIN_WAIT_MILLIS = 5_000;
 
     /** How much each gateway adds to that, in milliseconds. */
-    private static final long WAIT_MILLIS_A_MEMBER = 80;
+    private static final long WAIT_MILLIS_PER_MEMBER = 80;
 
     /** The longest time that the store may wait, in milliseconds. */
-    private static final long MOST_WAIT_MILLIS = 15_000;
+    private static final long MAX_WAIT_MILLIS = 15_000;
 
     /** How much each gateway adds to the time for which changes are gathered, in milliseconds. */
-    private static final long GATHER_MILLIS_A_MEMBER = 12;
+    private static final long BATCH_MILLIS_PER_MEMBER = 12;
 
     /** The longest time for which changes are gathered, in milliseconds. */
-    private static final long MOST_GATHER_MILLIS = 750;
+    private static final long MAX_BATCH_MILLIS = 750;
 
     /**
      * Returns the pace of a fleet.
@@ -31,9 +31,9 @@
      * @param members How many gateways it has.
      * @return The pace.
      */
-    static WatchPace of(int members) {
-        return new WatchPace(
-                Math.min(MOST_WAIT_MILLIS, LEAST_WAIT_MILLIS + WAIT_MILLIS_A_MEMBER * members),
-                Math.min(MOST_GATHER_MILLIS, GATHER_MILLIS_A_MEMBER * members));
+    static WatchTiming of(int members) {
+        return new WatchTiming(
+                Math.min(MAX_WAIT_MILLIS, MIN_WAIT_MILLIS + WAIT_MILLIS_PER_MEMBER * members),
+                Math.min(MAX_BATCH_MILLIS, BATCH_MILLIS_PER_MEMBER * members));
     }
 }
--- a/src/test/java/org/martenwell/directory/DepartedTargetsTest.java
+++ b/src/test/java/org/martenwell/directory/DepartedTargetsTest.java
@@ -42,31 +42,31 @@
     /** The latest at which a gateway that is back must have dropped targets, in milliseconds. */
     private static final long CAUGHT_UP_MILLIS = 3_000;
 
-    private final FollowedKind kind = new FollowedKind();
+    private final KindWatcherHarness harness = new KindWatcherHarness();
 
     @Test
     void testTargetThatLeftDuringACutIsGoneWithTheFirstListBehindIt() {
-        kind.store().answers(7, false, KNOWN);
-        kind.store().fails();
-        kind.store().fails();
-        kind.store().answers(9, false, REMAINING);
-        kind.follow();
-        assertThat(kind.told()).startsWith(Set.of(KNOWN), Set.of(REMAINING));
+        harness.store().willReturn(7, false, KNOWN);
+        harness.store().willFail();
+        harness.store().willFail();
+        harness.store().willReturn(9, false, REMAINING);
+        harness.runScript();
+        assertThat(harness.notifications()).startsWith(Set.of(KNOWN), Set.of(REMAINING));
     }
 
     @Test
     void testMissingTargetsEndInTimeEvenIfMostAreMissing() {
-        kind.store().answers(7, false, "one", "two", "three");
-        kind.store().answers(9, false, "one");
-        kind.start();
-        kind.store().hangs();
-        kind.pass(RETRY_MILLIS);
-        kind.pass(HANGING_MILLIS);
-        kind.store().endHanging();
-        kind.pass(RETRY_MILLIS);
-        assertThat(kind.lastTold()).containsExactlyInAnyOrder("one", "two", "three");
-        kind.pass(CAUGHT_UP_MILLIS - HANGING_MILLIS - RETRY_MILLIS);
-        assertThat(kind.lastTold()).containsExactly("one");
+        harness.store().willReturn(7, false, "one", "two", "three");
+        harness.store().willReturn(9, false, "one");
+        harness.start();
+        harness.store().willHang();
+        harness.advance(RETRY_MILLIS);
+        harness.advance(HANGING_MILLIS);
+        harness.store().failHanging();
+        harness.advance(RETRY_MILLIS);
+        assertThat(harness.lastNotification()).containsExactlyInAnyOrder("one", "two", "three");
+        harness.advance(CAUGHT_UP_MILLIS - HANGING_MILLIS - RETRY_MILLIS);
+        assertThat(harness.lastNotification()).containsExactly("one");
     }
 
     private static String[] targets(int from, int to) {
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -29,9 +29,9 @@
 
     private static final Fingerprint HARMFUL = new Fingerprint(1, 2);
 
-    private final Objects store = new Objects();
+    private final InMemoryStore store = new InMemoryStore();
 
-    private final Told told = new Told();
+    private final RecordingListener listener = new RecordingListener();
 
     private long nowMillis = 1;
 
@@ -44,7 +44,7 @@
                     store,
                     "kind",
                     new Random(1),
-                    told,
+                    listener,
                     Clock.fixed(Instant.ofEpochMilli(NOW_MILLIS), ZoneOffset.UTC));
 
     @Test
@@ -52,7 +52,7 @@
         HeldRequest request = request(NOW_MILLIS);
         requests.hold(request);
         start();
-        assertThat(told.requests).containsExactly(Map.entry(HARMFUL, request));
+        assertThat(listener.requests).containsExactly(Map.entry(HARMFUL, request));
     }
 
     @Test
@@ -60,9 +60,9 @@
         store.failures = 2;
         requests.hold(request(NOW_MILLIS));
         assertThat(store.objects).isEmpty();
-        pass(1_000);
+        advance(1_000);
         assertThat(store.objects).isEmpty();
-        pass(1_000);
+        advance(1_000);
         assertThat(store.objects).containsOnlyKeys(HARMFUL.toString());
     }
 
@@ -71,7 +71,7 @@
         store.failures = 1;
         requests.hold(request(NOW_MILLIS));
         requests.release(HARMFUL);
-        pass(2_000);
+        advance(2_000);
         assertThat(store.objects).isEmpty();
     }
 
@@ -79,21 +79,21 @@
     @Test
     void testObjectsThatCannotBeReadArePassedOver() {
         requests.hold(request(NOW_MILLIS));
-        store.objects.put("no fingerprint", HeldRequestForms.write(request(NOW_MILLIS)));
+        store.objects.put("no fingerprint", HeldRequestJson.write(request(NOW_MILLIS)));
         store.objects.put(
                 new Fingerprint(3, 4).toString(),
                 JsonNodeFactory.instance.objectNode().put("sinceMillis", "today"));
         store.objects.put(new Fingerprint(5, 6).toString(), JsonNodeFactory.instance.textNode(""));
         start();
-        assertThat(told.requests).containsOnlyKeys(HARMFUL);
-        assertThat(told.unreadable).hasSize(3);
+        assertThat(listener.requests).containsOnlyKeys(HARMFUL);
+        assertThat(listener.unreadable).hasSize(3);
     }
 
     @Test
     void testRequestThatWasHeldLongEnoughIsRemoved() {
         requests.hold(request(NOW_MILLIS - Quarantine.HELD_MILLIS - 1));
         start();
-        assertThat(told.requests).isEmpty();
+        assertThat(listener.requests).isEmpty();
         assertThat(store.objects).isEmpty();
     }
 
@@ -102,7 +102,7 @@
         loop.run();
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         nowMillis += millis;
         loop.post(() -> {});
         loop.run();
@@ -118,7 +118,7 @@
     }
 
     /** A store that holds objects of one kind and fails the next writes. */
-    private static final class Objects implements ObjectStore {
+    private static final class InMemoryStore implements ObjectStore {
 
         private final Map<String, JsonNode> objects = new TreeMap<>();
 
@@ -162,7 +162,7 @@
     }
 
     /** What a gateway was told. */
-    private static final class Told implements DirectoryListener {
+    private static final class RecordingListener implements DirectoryListener {
 
         private Map<Fingerprint, HeldRequest> requests = Map.of();
 
--- a/src/test/java/org/martenwell/directory/KindPollerTest.java
+++ b/src/test/java/org/martenwell/directory/KindPollerTest.java
@@ -25,7 +25,7 @@
 
     private final ScriptedStore store = new ScriptedStore();
 
-    private final List<Set<String>> told = new ArrayList<>();
+    private final List<Set<String>> notifications = new ArrayList<>();
 
     private long nowMillis = 1;
 
@@ -34,34 +34,34 @@
 
     @Test
     void testListOlderThanTheLastIsDropped() {
-        store.answers(7, false, "one", "two");
-        store.answers(5, false, "one");
+        store.willReturn(7, false, "one", "two");
+        store.willReturn(5, false, "one");
         KindPoller poller = startedPoller();
         poller.refresh();
         loop.run();
-        assertThat(told).containsExactly(Set.of("one", "two"));
+        assertThat(notifications).containsExactly(Set.of("one", "two"));
     }
 
     @Test
     void testRefreshBringsWhatIsNew() {
-        store.answers(7, false, "one");
-        store.answers(8, false, "one", "two");
+        store.willReturn(7, false, "one");
+        store.willReturn(8, false, "one", "two");
         KindPoller poller = startedPoller();
         poller.refresh();
         loop.run();
-        assertThat(told).containsExactly(Set.of("one"), Set.of("one", "two"));
+        assertThat(notifications).containsExactly(Set.of("one"), Set.of("one", "two"));
     }
 
     @Test
     void testRefreshesThatFollowEachOtherAskOnce() {
-        store.answers(7, false, "one");
-        store.answers(8, false, "one", "two");
-        store.answers(9, false, "one", "two", "three");
+        store.willReturn(7, false, "one");
+        store.willReturn(8, false, "one", "two");
+        store.willReturn(9, false, "one", "two", "three");
         KindPoller poller = startedPoller();
         poller.refresh();
         poller.refresh();
         loop.run();
-        assertThat(told).hasSize(2);
+        assertThat(notifications).hasSize(2);
     }
 
     /**
@@ -82,15 +82,15 @@
     private int listsIn(long millis, int gateways) {
         String[] names = new String[gateways];
         Arrays.setAll(names, index -> "gateway-" + index);
-        store.answers(7, false, names);
+        store.willReturn(7, false, names);
         startedPoller();
-        int before = store.lists();
+        int before = store.listCount();
         for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
             nowMillis += STEP_MILLIS;
             loop.post(() -> {});
             loop.run();
         }
-        return store.lists() - before;
+        return store.listCount() - before;
     }
 
     /** Starts a poller and lets the time pass until a refresh is answered. */
@@ -98,8 +98,8 @@
         KindPoller poller =
                 new KindPoller(
                         new KindSource(loop, store, "kind", new Random(1)),
-                        PollPace.GATEWAYS,
-                        entries -> told.add(new TreeSet<>(entries.keySet())));
+                        PollInterval.GATEWAYS,
+                        entries -> notifications.add(new TreeSet<>(entries.keySet())));
         poller.start();
         loop.run();
         nowMillis += LATER_MILLIS;
--- a/src/test/java/org/martenwell/directory/FollowedKind.java
+++ b/src/test/java/org/martenwell/directory/KindWatcherHarness.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 
 /** A follower of a scripted store, with a clock that only the test moves. */
-final class FollowedKind {
+final class KindWatcherHarness {
 
     /** Longer than a follower waits after its first failures, in milliseconds. */
     private static final long RETRY_MILLIS = 100;
@@ -20,7 +20,7 @@
     private final ScriptedStore store = new ScriptedStore();
 
     /** The names of the entries that the follower told, each time. */
-    private final List<Set<String>> told = new ArrayList<>();
+    private final List<Set<String>> notifications = new ArrayList<>();
 
     /** The present time, in milliseconds. */
     private long nowMillis = 1;
@@ -30,41 +30,41 @@
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
     /** The follower. */
-    private final KindFollower follower =
-            new KindFollower(
+    private final KindWatcher watcher =
+            new KindWatcher(
                     new KindSource(loop, store, "kind", new Random(1)),
-                    () -> WatchPace.of(0),
+                    () -> WatchTiming.of(0),
                     entry -> "group",
-                    entries -> told.add(new TreeSet<>(entries.keySet())));
+                    entries -> notifications.add(new TreeSet<>(entries.keySet())));
 
     ScriptedStore store() {
         return store;
     }
 
-    List<Set<String>> told() {
-        return told;
+    List<Set<String>> notifications() {
+        return notifications;
     }
 
-    Set<String> lastTold() {
-        return told.get(told.size() - 1);
+    Set<String> lastNotification() {
+        return notifications.get(notifications.size() - 1);
     }
 
     /** Follows the store. */
     void start() {
-        follower.start();
+        watcher.start();
         loop.run();
     }
 
     /** Follows the store until all that is laid down has been answered. */
-    void follow() {
+    void runScript() {
         start();
         for (int step = 0; step < STEPS; step++) {
-            pass(RETRY_MILLIS);
+            advance(RETRY_MILLIS);
         }
     }
 
     /** Lets time pass; the loop ends when nothing but tasks in the background is left. */
-    void pass(long millis) {
+    void advance(long millis) {
         loop.post(() -> {});
         nowMillis += millis;
         loop.run();
--- a/src/test/java/org/martenwell/directory/KindFollowerTest.java
+++ b/src/test/java/org/martenwell/directory/KindWatcherTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests how a follower lists and watches. */
-final class KindFollowerTest {
+final class KindWatcherTest {
 
     /** The longest time between attempts, in milliseconds. */
     private static final long LONGEST_MILLIS = 900;
@@ -14,25 +14,25 @@
     /** How many attempts are looked at. */
     private static final int ATTEMPTS = 100;
 
-    private final FollowedKind kind = new FollowedKind();
+    private final KindWatcherHarness harness = new KindWatcherHarness();
 
     @Test
     void testFollowerWatchesFromTheRevisionOfTheFirstPage() {
-        kind.store().answers(7, true, "one");
-        kind.store().answers(9, false, "two");
-        kind.start();
-        assertThat(kind.told()).containsExactly(Set.of("one", "two"));
-        assertThat(kind.store().watched()).containsExactly(7L);
+        harness.store().willReturn(7, true, "one");
+        harness.store().willReturn(9, false, "two");
+        harness.start();
+        assertThat(harness.notifications()).containsExactly(Set.of("one", "two"));
+        assertThat(harness.store().watchedRevisions()).containsExactly(7L);
     }
 
     @Test
     void testStoreIsAskedAgainSoonHoweverLongItWasAway() {
-        kind.store().fails();
-        kind.start();
+        harness.store().willFail();
+        harness.start();
         for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
-            int before = kind.store().lists();
-            kind.pass(LONGEST_MILLIS);
-            assertThat(kind.store().lists()).isGreaterThan(before);
+            int before = harness.store().listCount();
+            harness.advance(LONGEST_MILLIS);
+            assertThat(harness.store().listCount()).isGreaterThan(before);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/org/martenwell/directory/RetainedEntriesTest.java
@@ -0,0 +1,87 @@
+package org.martenwell.directory;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Tests what becomes of entries that lapse while the store is away. */
+final class RetainedEntriesTest {
+
+    /** Longer than lapsed entries are kept, in milliseconds. */
+    private static final long LATER_MILLIS = 10_000;
+
+    private final KindWatcherHarness harness = new KindWatcherHarness();
+
+    @Test
+    void testEntriesThatLapsedWhileTheStoreWasAwayAreKeptForAWhile() {
+        harness.store().willReturn(7, false, "one", "two");
+        harness.store().willFail();
+        harness.store().willReturn(8, false, "one");
+        harness.runScript();
+        assertThat(harness.notifications())
+                .hasSizeGreaterThan(1)
+                .allMatch(Set.of("one", "two")::equals);
+        harness.advance(LATER_MILLIS);
+        assertThat(harness.lastNotification()).containsExactly("one");
+    }
+
+    @Test
+    void testEntriesThatAreBackStay() {
+        harness.store().willReturn(7, false, "one", "two");
+        harness.store().willFail();
+        harness.store().willReturn(8, false, "one");
+        harness.store().willReturn(9, false, "one", "two");
+        harness.runScript();
+        harness.advance(LATER_MILLIS);
+        assertThat(harness.notifications())
+                .hasSizeGreaterThan(1)
+                .allMatch(Set.of("one", "two")::equals);
+    }
+
+    @Test
+    void testEntriesThatLeftBesideABrokenWatchAreGoneAtOnce() {
+        harness.store().willReturn(7, false, "one", "two");
+        harness.store().willReturn(8, false, "one");
+        harness.runScript();
+        assertThat(harness.notifications()).startsWith(Set.of("one", "two"), Set.of("one"));
+    }
+
+    @Test
+    void testEntriesLapseByGroup() {
+        RetainedEntries lapsed =
+                RetainedEntries.of(
+                        entries("engine-1", "engine-2", "engine-3", "plain-1", "plain-2"),
+                        entries("engine-1", "engine-2", "plain-1"),
+                        each -> each.name().substring(0, 5),
+                        100);
+        assertThat(lapsed.names()).containsExactly("plain-2");
+    }
+
+    @Test
+    void testEntriesKeptEndTogether() {
+        RetainedEntries lapsed =
+                RetainedEntries.of(
+                        entries("one", "two", "three"), entries("one"), each -> "group", 100);
+        assertThat(lapsed.mergedInto(entries("one"), 99)).containsOnlyKeys("one", "two", "three");
+        assertThat(lapsed.mergedInto(entries("one"), 100)).containsOnlyKeys("one");
+    }
+
+    @Test
+    void testPresentEntryIsPreferredToTheOneThatLapsed() {
+        RetainedEntries lapsed = RetainedEntries.of(entries("one"), Map.of(), each -> "group", 100);
+        StoredEntry present = new StoredEntry("one", 9, JsonNodeFactory.instance.objectNode());
+        assertThat(lapsed.mergedInto(Map.of("one", present), 1)).containsEntry("one", present);
+    }
+
+    private static Map<String, StoredEntry> entries(String... names) {
+        Map<String, StoredEntry> entries = new HashMap<>();
+        for (String each : names) {
+            entries.put(each, new StoredEntry(each, 1, JsonNodeFactory.instance.objectNode()));
+        }
+        return entries;
+    }
+}
--- a/src/test/java/org/martenwell/directory/ScriptedStore.java
+++ b/src/test/java/org/martenwell/directory/ScriptedStore.java
@@ -14,68 +14,69 @@
 final class ScriptedStore implements ObjectStore {
 
     /** What the next lists answer, empty for a failure; the last one is answered again. */
-    private final Deque<Optional<EntryPage>> pages = new ArrayDeque<>();
+    private final Deque<Optional<EntryPage>> scriptedPages = new ArrayDeque<>();
 
     /** The failure of the list that hangs, or {@code null} if none does. */
     private SettablePromise<EntryPage> hanging;
 
     /** Whether the next list hangs. */
-    private boolean hangs;
+    private boolean hangNext;
 
     /** How many lists were asked for. */
-    private int lists;
+    private int listCount;
 
     /** The revisions from which watches began. */
-    private final List<Long> watched = new ArrayList<>();
+    private final List<Long> watchedRevisions = new ArrayList<>();
 
     /** Lays down what the next list answers. */
-    void answers(long revision, boolean more, String... names) {
+    void willReturn(long revision, boolean more, String... names) {
         List<StoredEntry> entries = new ArrayList<>();
         for (String each : names) {
             entries.add(new StoredEntry(each, revision, JsonNodeFactory.instance.objectNode()));
         }
-        pages.add(Optional.of(new EntryPage(entries, more, revision)));
+        scriptedPages.add(Optional.of(new EntryPage(entries, more, revision)));
     }
 
     /** Lays down that the next list fails. */
-    void fails() {
-        pages.add(Optional.empty());
+    void willFail() {
+        scriptedPages.add(Optional.empty());
     }
 
-    /** Lets the next list hang until {@link #endHanging}; what is laid down comes after it. */
-    void hangs() {
-        hangs = true;
+    /** Lets the next list hang until {@link #failHanging}; what is laid down comes after it. */
+    void willHang() {
+        hangNext = true;
     }
 
     /** Lets the list that hangs fail. */
-    void endHanging() {
+    void failHanging() {
         hanging.setException(new IllegalStateException("Took too long."));
     }
 
-    int lists() {
-        return lists;
+    int listCount() {
+        return listCount;
     }
 
-    List<Long> watched() {
-        return watched;
+    List<Long> watchedRevisions() {
+        return watchedRevisions;
     }
 
     @Override
     public Promise<EntryPage> list(String kind, Optional<String> after, Freshness freshness) {
-        lists++;
-        if (hangs) {
-            hangs = false;
+        listCount++;
+        if (hangNext) {
+            hangNext = false;
             hanging = new SettablePromise<>();
             return hanging;
         }
-        Optional<EntryPage> page = pages.size() > 1 ? pages.poll() : pages.element();
+        Optional<EntryPage> page =
+                scriptedPages.size() > 1 ? scriptedPages.poll() : scriptedPages.element();
         return page.map(Promise::of)
                 .orElseGet(() -> Promise.ofException(new IllegalStateException("Away.")));
     }
 
     @Override
     public Promise<EntryChanges> watch(String kind, long revision, long waitMillis) {
-        watched.add(revision);
+        watchedRevisions.add(revision);
         return Promise.ofException(new IllegalStateException("No change is laid down."));
     }
 
--- a/src/test/java/org/martenwell/directory/UndatedTargetsTest.java
+++ b/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.service.IpAddress;
 
-final class UndatedTargetsTest {
+final class TargetsWithoutStartTest {
 
-    private final DirectoryTarget undated = target("undated", OptionalLong.empty());
+    private final DirectoryTarget withoutStart = target("undated", OptionalLong.empty());
 
     private final DirectoryTarget one = target("one", OptionalLong.of(5));
 
@@ -17,14 +17,15 @@
 
     @Test
     void testTargetThatLacksItsStartAmongOthersThatTellTheirsIsFound() {
-        assertThat(UndatedTargets.of(List.of(one, undated, two))).containsExactly(undated);
+        assertThat(TargetsWithoutStart.of(List.of(one, withoutStart, two)))
+                .containsExactly(withoutStart);
     }
 
     @Test
     void testNoneIsFoundWhereTargetsDoNotTell() {
-        assertThat(UndatedTargets.of(List.of(undated))).isEmpty();
-        assertThat(UndatedTargets.of(List.of(undated, one))).isEmpty();
-        assertThat(UndatedTargets.of(List.of())).isEmpty();
+        assertThat(TargetsWithoutStart.of(List.of(withoutStart))).isEmpty();
+        assertThat(TargetsWithoutStart.of(List.of(withoutStart, one))).isEmpty();
+        assertThat(TargetsWithoutStart.of(List.of())).isEmpty();
     }
 
     private static DirectoryTarget target(String id, OptionalLong bornMillis) {
--- a/src/test/java/org/martenwell/directory/WatchPaceTest.java
+++ b/src/test/java/org/martenwell/directory/WatchTimingTest.java
@@ -5,26 +5,26 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests how the size of a fleet changes the pace at which it watches a store. */
-final class WatchPaceTest {
+final class WatchTimingTest {
 
     /** The shortest time in which a target that leaves must get no more requests. */
     private static final long DRAIN_MILLIS = 2_000;
 
     @Test
     void testSmallFleetHearsOfChangesAtOnce() {
-        assertThat(WatchPace.of(0).gatherMillis()).isZero();
-        assertThat(WatchPace.of(9).gatherMillis()).isLessThan(DRAIN_MILLIS / 10);
+        assertThat(WatchTiming.of(0).batchMillis()).isZero();
+        assertThat(WatchTiming.of(9).batchMillis()).isLessThan(DRAIN_MILLIS / 10);
     }
 
     @Test
     void testCallsOfAllGatewaysGrowSlowerThanTheFleet() {
-        double small = 7.0 / WatchPace.of(7).waitMillis();
-        double large = 61.0 / WatchPace.of(61).waitMillis();
+        double small = 7.0 / WatchTiming.of(7).waitMillis();
+        double large = 61.0 / WatchTiming.of(61).waitMillis();
         assertThat(large / small).isLessThan(61.0 / 7 * 0.6);
     }
 
     @Test
     void testNoFleetGathersForHalfOfTheTimeInWhichATargetMustDrain() {
-        assertThat(WatchPace.of(10_000).gatherMillis()).isLessThan(DRAIN_MILLIS / 2);
+        assertThat(WatchTiming.of(10_000).batchMillis()).isLessThan(DRAIN_MILLIS / 2);
     }
 }
