--- a/src/main/java/org/martenwell/peer/FieldReader.java
+++ b/src/main/java/org/martenwell/peer/FieldReader.java
@@ -16,7 +16,7 @@
 final class FieldReader {
 
     /** How many parts an amount of service is told in. */
-    static final double THOUSANDTHS = 1000;
+    static final double SERVICE_SCALE = 1000;
 
     /** Reads with a strict limit on strings, so that a false length allocates nothing large. */
     private static final MessagePack.UnpackerConfig UNPACKER =
@@ -36,7 +36,7 @@
      *
      * @param bytes The payload.
      */
-    void open(byte[] bytes) {
+    void reset(byte[] bytes) {
         unpacker = UNPACKER.newUnpacker(bytes);
     }
 
@@ -107,7 +107,7 @@
      * @return The number.
      * @throws IOException If the payload ends early.
      */
-    int smallNumber() throws IOException {
+    int intNumber() throws IOException {
         return unpacker.unpackInt();
     }
 
@@ -128,7 +128,7 @@
      * @throws IOException If the payload ends early.
      */
     double service() throws IOException {
-        return unpacker.unpackLong() / THOUSANDTHS;
+        return unpacker.unpackLong() / SERVICE_SCALE;
     }
 
     /**
--- a/src/main/java/org/martenwell/peer/FieldWriter.java
+++ b/src/main/java/org/martenwell/peer/FieldWriter.java
@@ -96,7 +96,7 @@
      * @throws IOException Never for a buffer in memory.
      */
     void service(double units) throws IOException {
-        packer.packLong(Math.round(units * FieldReader.THOUSANDTHS));
+        packer.packLong(Math.round(units * FieldReader.SERVICE_SCALE));
     }
 
     /**
@@ -104,7 +104,7 @@
      *
      * @return The bytes.
      */
-    byte[] take() {
+    byte[] drain() {
         byte[] bytes = packer.toByteArray();
         packer.clear();
         return bytes;
--- a/src/main/java/org/martenwell/peer/FrameCodec.java
+++ b/src/main/java/org/martenwell/peer/FrameCodec.java
@@ -71,7 +71,7 @@
      * @param frame The frame.
      * @return The payload.
      */
-    byte[] open(byte[] frame) {
+    byte[] verify(byte[] frame) {
         if (frame.length < SIGNATURE_BYTES) {
             throw MartenwellException.of(ErrorKind.BAD_FRAME, "The frame is too short.");
         }
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -15,10 +15,10 @@
 import org.martenwell.share.ShareSums;
 
 /** The forms of messages between gateways. */
-final class GatewayForms {
+final class GatewayMessageCodec {
 
     /** Not instantiated. */
-    private GatewayForms() {}
+    private GatewayMessageCodec() {}
 
     /**
      * Writes a report.
@@ -58,15 +58,15 @@
     /**
      * Writes what speaks against a request.
      *
-     * @param word What is told.
+     * @param update What is told.
      * @param writer Receives it.
      * @throws IOException Never for a buffer in memory.
      */
-    private static void write(QuarantineWord word, FieldWriter writer) throws IOException {
-        writer.number(word.fingerprint().scope());
-        writer.number(word.fingerprint().content());
-        writer.number(word.kind().number());
-        writer.text(word.life());
+    private static void write(QuarantineWord update, FieldWriter writer) throws IOException {
+        writer.number(update.fingerprint().scope());
+        writer.number(update.fingerprint().content());
+        writer.number(update.kind().number());
+        writer.text(update.life());
     }
 
     /**
@@ -76,9 +76,9 @@
      * @return What is told.
      * @throws IOException If it ends early.
      */
-    private static QuarantineWord readQuarantineWord(FieldReader reader) throws IOException {
+    private static QuarantineWord readQuarantineUpdate(FieldReader reader) throws IOException {
         Fingerprint fingerprint = new Fingerprint(reader.number(), reader.number());
-        return new QuarantineWord(fingerprint, WordKind.of(reader.smallNumber()), reader.text());
+        return new QuarantineWord(fingerprint, WordKind.of(reader.intNumber()), reader.text());
     }
 
     /**
@@ -139,7 +139,7 @@
                 readShares(reader),
                 reader.list(each -> new PlacedPart(each.name(), each.number(), each.number())),
                 reader.list(FieldReader::name),
-                reader.list(GatewayForms::readQuarantineWord));
+                reader.list(GatewayMessageCodec::readQuarantineUpdate));
     }
 
     /**
@@ -150,7 +150,7 @@
      * @throws IOException If they end early.
      */
     private static LoadSums readSums(FieldReader reader) throws IOException {
-        return new LoadSums(reader.smallNumber(), reader.number(), reader.number());
+        return new LoadSums(reader.intNumber(), reader.number(), reader.number());
     }
 
     /**
@@ -163,7 +163,8 @@
     private static ShareCounts readShares(FieldReader reader) throws IOException {
         long countedMillis = reader.number();
         Map<String, ShareSums> sums = new HashMap<>();
-        for (Map.Entry<String, ShareSums> each : reader.list(GatewayForms::readSharesEntry)) {
+        for (Map.Entry<String, ShareSums> each :
+                reader.list(GatewayMessageCodec::readSharesEntry)) {
             sums.put(each.getKey(), each.getValue());
         }
         return new ShareCounts(countedMillis, sums);
--- a/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
@@ -4,10 +4,10 @@
 import org.martenwell.member.Heartbeat;
 
 /** The forms of messages about membership and configuration. */
-final class MembershipForms {
+final class MembershipMessageCodec {
 
     /** Not instantiated. */
-    private MembershipForms() {}
+    private MembershipMessageCodec() {}
 
     /**
      * Writes a heartbeat.
--- a/src/main/java/org/martenwell/peer/MessageReader.java
+++ b/src/main/java/org/martenwell/peer/MessageReader.java
@@ -27,9 +27,9 @@
     public List<PeerMessage> read(byte[] payload) {
         List<PeerMessage> messages = new ArrayList<>();
         try {
-            fields.open(payload);
+            fields.reset(payload);
             while (fields.hasNext()) {
-                messages.add(next());
+                messages.add(readNext());
             }
             return messages;
         } catch (IOException | MessagePackException exception) {
@@ -44,8 +44,8 @@
      * @return The message.
      * @throws IOException If the payload ends early.
      */
-    private PeerMessage next() throws IOException {
-        int number = fields.smallNumber();
+    private PeerMessage readNext() throws IOException {
+        int number = fields.intNumber();
         return MessageType.of(number)
                 .orElseThrow(
                         () ->
--- a/src/main/java/org/martenwell/peer/MessageType.java
+++ b/src/main/java/org/martenwell/peer/MessageType.java
@@ -18,12 +18,12 @@
     HEARTBEAT(1, Heartbeat.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            MembershipForms.write((Heartbeat) message, writer);
+            MembershipMessageCodec.write((Heartbeat) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return MembershipForms.readHeartbeat(reader);
+            return MembershipMessageCodec.readHeartbeat(reader);
         }
     },
 
@@ -31,12 +31,12 @@
     SERVICE_REPORT(2, ServiceReport.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            ScheduleForms.write((ServiceReport) message, writer);
+            ScheduleMessageCodec.write((ServiceReport) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return ScheduleForms.readServiceReport(reader);
+            return ScheduleMessageCodec.readServiceReport(reader);
         }
     },
 
@@ -44,12 +44,12 @@
     SLOT_REPORT(3, SlotReport.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            ScheduleForms.write((SlotReport) message, writer);
+            ScheduleMessageCodec.write((SlotReport) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return ScheduleForms.readSlotReport(reader);
+            return ScheduleMessageCodec.readSlotReport(reader);
         }
     },
 
@@ -57,12 +57,12 @@
     SLOT_GRANTS(4, SlotGrants.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            ScheduleForms.write((SlotGrants) message, writer);
+            ScheduleMessageCodec.write((SlotGrants) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return ScheduleForms.readSlotGrants(reader);
+            return ScheduleMessageCodec.readSlotGrants(reader);
         }
     },
 
@@ -70,12 +70,12 @@
     CONFIGURATION_REQUEST(5, ConfigurationRequest.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            MembershipForms.write((ConfigurationRequest) message, writer);
+            MembershipMessageCodec.write((ConfigurationRequest) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return MembershipForms.readConfigurationRequest(reader);
+            return MembershipMessageCodec.readConfigurationRequest(reader);
         }
     },
 
@@ -83,12 +83,12 @@
     CONFIGURATION_ANSWER(6, ConfigurationAnswer.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            MembershipForms.write((ConfigurationAnswer) message, writer);
+            MembershipMessageCodec.write((ConfigurationAnswer) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return MembershipForms.readConfigurationAnswer(reader);
+            return MembershipMessageCodec.readConfigurationAnswer(reader);
         }
     },
 
@@ -96,12 +96,12 @@
     TARGET_NOTICE(7, TargetNotice.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            MembershipForms.write((TargetNotice) message, writer);
+            MembershipMessageCodec.write((TargetNotice) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return MembershipForms.readTargetNotice(reader);
+            return MembershipMessageCodec.readTargetNotice(reader);
         }
     },
 
@@ -109,12 +109,12 @@
     GATEWAY_REPORT(8, GatewayReport.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            GatewayForms.write((GatewayReport) message, writer);
+            GatewayMessageCodec.write((GatewayReport) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return GatewayForms.readReport(reader);
+            return GatewayMessageCodec.readReport(reader);
         }
     },
 
@@ -122,12 +122,12 @@
     REPORT_BATCH(9, ReportBatch.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            GatewayForms.write((ReportBatch) message, writer);
+            GatewayMessageCodec.write((ReportBatch) message, writer);
         }
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return GatewayForms.readBatch(reader);
+            return GatewayMessageCodec.readBatch(reader);
         }
     };
 
@@ -162,7 +162,7 @@
      *
      * @return The constant's name in lower case.
      */
-    String word() {
+    String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/org/martenwell/peer/MessageWriter.java
+++ b/src/main/java/org/martenwell/peer/MessageWriter.java
@@ -25,7 +25,7 @@
         try {
             fields.number(type.number());
             type.write(message, fields);
-            return fields.take();
+            return fields.drain();
         } catch (IOException exception) {
             throw MartenwellException.of(ErrorKind.INTERNAL, "No form.", exception);
         }
--- a/src/main/java/org/martenwell/peer/NameTable.java
+++ b/src/main/java/org/martenwell/peer/NameTable.java
@@ -13,7 +13,7 @@
     private static final int MAX_NAMES = 16_384;
 
     /** The longest name that is numbered, in characters. */
-    private static final int MAX_CHARACTERS = 128;
+    private static final int MAX_NAME_LENGTH = 128;
 
     /** The names by number. */
     private final List<String> names = new ArrayList<>();
@@ -30,7 +30,7 @@
      * @param name The name.
      */
     void add(String name) {
-        boolean fits = names.size() < MAX_NAMES && name.length() <= MAX_CHARACTERS;
+        boolean fits = names.size() < MAX_NAMES && name.length() <= MAX_NAME_LENGTH;
         if (fits && !numbers.containsKey(name)) {
             numbers.put(name, names.size());
             names.add(name);
--- a/src/main/java/org/martenwell/peer/PeerConnection.java
+++ b/src/main/java/org/martenwell/peer/PeerConnection.java
@@ -20,28 +20,28 @@
  * The connection to one peer. It is opened again whenever it breaks or nothing arrives on it, with
  * growing, jittered delay.
  */
-final class PeerLink {
+final class PeerConnection {
 
     /**
      * How long a connection may take to open, in milliseconds. A lost packet is sent again after 1
      * s, so a new attempt is faster than waiting for longer than a few round trips.
      */
-    private static final long CONNECT_MILLIS = 400;
+    private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
     /**
      * How long nothing may arrive, in milliseconds: four pulses of the peer's server in a row may
      * be lost. Writes tell nothing, since the system takes them while the other side is silent.
      */
-    private static final long SILENT_MILLIS = 5 * PeerServer.PULSE_MILLIS;
+    private static final long READ_TIMEOUT_MILLIS = 5 * PeerServer.KEEP_ALIVE_MILLIS;
 
     /** The first delay before another attempt, in milliseconds. */
-    private static final long FIRST_DELAY_MILLIS = 50;
+    private static final long INITIAL_DELAY_MILLIS = 50;
 
     /**
      * The longest mean delay before another attempt, in milliseconds, so that peers hear of each
      * other within 2 s behind a cut.
      */
-    private static final long LONGEST_DELAY_MILLIS = 1_000;
+    private static final long MAX_DELAY_MILLIS = 1_000;
 
     /** The most bytes that wait to be sent; a peer that takes none loses its connection. */
     private static final int MAX_PENDING_BYTES = 4 << 20;
@@ -77,13 +77,13 @@
     private TcpSocket socket;
 
     /** Writes messages, or {@code null} if there is no connection. */
-    private MessageWriter messages;
+    private MessageWriter messageWriter;
 
     /** Signs frames, or {@code null} if there is no connection. */
     private FrameCodec codec;
 
     /** {@code true} while a write is due in the loop. */
-    private boolean writeDue;
+    private boolean flushScheduled;
 
     /** {@code true} while bytes are being written. */
     private boolean writing;
@@ -92,7 +92,7 @@
     private boolean closed;
 
     /** The delay before the next attempt, in milliseconds. */
-    private long delayMillis = FIRST_DELAY_MILLIS;
+    private long delayMillis = INITIAL_DELAY_MILLIS;
 
     /**
      * Creates a connection that is not open.
@@ -105,7 +105,7 @@
      * @param traffic Counts traffic.
      * @param listener Is told when the connection opens.
      */
-    PeerLink(
+    PeerConnection(
             NioReactor reactor,
             String name,
             String address,
@@ -136,9 +136,9 @@
         TcpSocket.connect(
                         reactor,
                         IpAddress.of(address),
-                        Duration.ofMillis(CONNECT_MILLIS),
+                        Duration.ofMillis(CONNECT_TIMEOUT_MILLIS),
                         settings())
-                .whenResult(this::opened)
+                .whenResult(this::onConnected)
                 .whenException(exception -> retryLater());
     }
 
@@ -149,7 +149,7 @@
      */
     private static SocketSettings settings() {
         return SocketSettings.builder()
-                .withImplReadTimeout(Duration.ofMillis(SILENT_MILLIS))
+                .withImplReadTimeout(Duration.ofMillis(READ_TIMEOUT_MILLIS))
                 .build();
     }
 
@@ -174,12 +174,12 @@
             socket.close();
             return;
         }
-        byte[] form = messages.write(message);
+        byte[] form = messageWriter.write(message);
         pending.writeBytes(form);
-        traffic.sent(MessageType.of(message), form.length);
-        if (!writeDue) {
-            writeDue = true;
-            reactor.postLast(this::writeDue);
+        traffic.messageSent(MessageType.of(message), form.length);
+        if (!flushScheduled) {
+            flushScheduled = true;
+            reactor.postLast(this::flush);
         }
     }
 
@@ -188,16 +188,19 @@
      *
      * @param opened The connection.
      */
-    private void opened(TcpSocket opened) {
+    private void onConnected(TcpSocket opened) {
         if (closed) {
             opened.close();
             return;
         }
         BinaryChannelSupplier input = BinaryChannelSupplier.of(ChannelSuppliers.ofSocket(opened));
         input.decode(ByteBufsDecoders.ofFixedSize(FrameCodec.NONCE_BYTES))
-                .whenResult(nonce -> greeted(opened, nonce.asArray()))
-                .then(() -> input.decodeStream(ByteBufsDecoders.ofFixedSize(1)).streamTo(pulses()))
-                .whenComplete(() -> broken(opened));
+                .whenResult(nonce -> onNonceReceived(opened, nonce.asArray()))
+                .then(
+                        () ->
+                                input.decodeStream(ByteBufsDecoders.ofFixedSize(1))
+                                        .streamTo(keepAliveConsumer()))
+                .whenComplete(() -> onDisconnected(opened));
     }
 
     /**
@@ -205,7 +208,7 @@
      *
      * @return The consumer.
      */
-    private static ChannelConsumer<ByteBuf> pulses() {
+    private static ChannelConsumer<ByteBuf> keepAliveConsumer() {
         return ChannelConsumers.ofConsumer(ByteBuf::recycle);
     }
 
@@ -215,11 +218,11 @@
      * @param opened The connection.
      * @param nonce Its nonce.
      */
-    private void greeted(TcpSocket opened, byte[] nonce) {
+    private void onNonceReceived(TcpSocket opened, byte[] nonce) {
         socket = opened;
         codec = new FrameCodec(key, nonce);
-        messages = new MessageWriter();
-        delayMillis = FIRST_DELAY_MILLIS;
+        messageWriter = new MessageWriter();
+        delayMillis = INITIAL_DELAY_MILLIS;
         listener.connected(name);
     }
 
@@ -228,7 +231,7 @@
      *
      * @param broken The connection.
      */
-    private void broken(TcpSocket broken) {
+    private void onDisconnected(TcpSocket broken) {
         broken.close();
         socket = null;
         codec = null;
@@ -241,7 +244,7 @@
     private void retryLater() {
         if (!closed) {
             long jittered = delayMillis / 2 + random.nextLong(delayMillis);
-            delayMillis = Math.min(LONGEST_DELAY_MILLIS, delayMillis * 2);
+            delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
             reactor.delayBackground(jittered, this::open);
         }
     }
@@ -249,8 +252,8 @@
     /**
      * Writes what waits once the loop has done what was due, so that one frame carries all of it.
      */
-    private void writeDue() {
-        writeDue = false;
+    private void flush() {
+        flushScheduled = false;
         write();
     }
 
@@ -265,7 +268,8 @@
         ByteBuf buffer = ByteBufPool.allocate(frame.length + MAX_LENGTH_BYTES);
         buffer.writeVarInt(frame.length);
         buffer.write(frame);
-        traffic.framed(buffer.readRemaining() - frame.length + FrameCodec.SIGNATURE_BYTES);
+        traffic.frameOverheadSent(
+                buffer.readRemaining() - frame.length + FrameCodec.SIGNATURE_BYTES);
         writing = true;
         current.write(buffer)
                 .whenResult(
--- a/src/main/java/org/martenwell/peer/PeerNetwork.java
+++ b/src/main/java/org/martenwell/peer/PeerNetwork.java
@@ -34,7 +34,7 @@
     private final PeerTraffic traffic = new PeerTraffic();
 
     /** The connections to peers, by name. */
-    private final Map<String, PeerLink> links = new HashMap<>();
+    private final Map<String, PeerConnection> connections = new HashMap<>();
 
     /**
      * Creates a network without peers.
@@ -61,8 +61,8 @@
 
     @Override
     public Promise<Void> stop() {
-        links.values().forEach(PeerLink::close);
-        links.clear();
+        connections.values().forEach(PeerConnection::close);
+        connections.clear();
         return server.stop();
     }
 
@@ -72,14 +72,14 @@
      * @param addresses The peers' addresses by name.
      */
     public void peers(Map<String, String> addresses) {
-        for (String name : Map.copyOf(links).keySet()) {
+        for (String name : Map.copyOf(connections).keySet()) {
             if (!addresses.containsKey(name)
-                    || !links.get(name).address().equals(addresses.get(name))) {
-                links.remove(name).close();
+                    || !connections.get(name).address().equals(addresses.get(name))) {
+                connections.remove(name).close();
             }
         }
         for (Map.Entry<String, String> entry : addresses.entrySet()) {
-            links.computeIfAbsent(entry.getKey(), name -> open(name, entry.getValue()));
+            connections.computeIfAbsent(entry.getKey(), name -> open(name, entry.getValue()));
         }
     }
 
@@ -91,11 +91,11 @@
      * @return {@code false} if this is none of the present peers.
      */
     public boolean send(String peer, PeerMessage message) {
-        PeerLink link = links.get(peer);
-        if (link != null) {
-            link.send(message);
+        PeerConnection connection = connections.get(peer);
+        if (connection != null) {
+            connection.send(message);
         }
-        return link != null;
+        return connection != null;
     }
 
     /**
@@ -104,7 +104,7 @@
      * @param message The message.
      */
     public void broadcast(PeerMessage message) {
-        links.values().forEach(link -> link.send(message));
+        connections.values().forEach(connection -> connection.send(message));
     }
 
     /**
@@ -123,9 +123,10 @@
      * @param address The peer's address.
      * @return The connection.
      */
-    private PeerLink open(String name, String address) {
-        PeerLink link = new PeerLink(reactor, name, address, key, random, traffic, listener);
-        link.open();
-        return link;
+    private PeerConnection open(String name, String address) {
+        PeerConnection connection =
+                new PeerConnection(reactor, name, address, key, random, traffic, listener);
+        connection.open();
+        return connection;
     }
 }
--- a/src/main/java/org/martenwell/peer/PeerServer.java
+++ b/src/main/java/org/martenwell/peer/PeerServer.java
@@ -29,16 +29,16 @@
 final class PeerServer implements ManagedService {
 
     /** How often a pulse is sent over each connection, in milliseconds. */
-    static final long PULSE_MILLIS = 500;
+    static final long KEEP_ALIVE_MILLIS = 500;
 
     /** What a pulse holds; it has no meaning. */
-    private static final byte[] PULSE = {0};
+    private static final byte[] KEEP_ALIVE = {0};
 
     /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(PeerServer.class);
 
     /** Makes nonces, which must not be guessed. */
-    private static final SecureRandom NONCES = new SecureRandom();
+    private static final SecureRandom NONCE_SOURCE = new SecureRandom();
 
     /** The loop. */
     private final NioReactor reactor;
@@ -85,7 +85,7 @@
 
     @Override
     public Promise<Void> start() {
-        pulseLater();
+        scheduleKeepAlives();
         return Listening.start(server);
     }
 
@@ -99,17 +99,17 @@
     /**
      * Sends a pulse over each connection, again and again. A connection that breaks ends itself.
      */
-    private void pulse() {
+    private void sendKeepAlives() {
         if (stopped) {
             return;
         }
-        Set.copyOf(sockets).forEach(each -> each.write(ByteBuf.wrapForReading(PULSE)));
-        pulseLater();
+        Set.copyOf(sockets).forEach(each -> each.write(ByteBuf.wrapForReading(KEEP_ALIVE)));
+        scheduleKeepAlives();
     }
 
     /** Sends the next pulse after a while. */
-    private void pulseLater() {
-        reactor.delayBackground(PULSE_MILLIS, this::pulse);
+    private void scheduleKeepAlives() {
+        reactor.delayBackground(KEEP_ALIVE_MILLIS, this::sendKeepAlives);
     }
 
     /**
@@ -119,12 +119,12 @@
      */
     private void serve(ITcpSocket socket) {
         byte[] nonce = new byte[FrameCodec.NONCE_BYTES];
-        NONCES.nextBytes(nonce);
+        NONCE_SOURCE.nextBytes(nonce);
         sockets.add(socket);
         FrameCodec codec = new FrameCodec(key, nonce);
         socket.write(ByteBuf.wrapForReading(nonce))
                 .then(() -> read(socket, codec))
-                .whenException(exception -> refuse(exception))
+                .whenException(exception -> recordFailure(exception))
                 .whenComplete(
                         () -> {
                             sockets.remove(socket);
@@ -157,8 +157,8 @@
      * @param frame The frame.
      */
     private void receive(FrameCodec codec, MessageReader messages, byte[] frame) {
-        traffic.received(frame.length);
-        messages.read(codec.open(frame)).forEach(listener::received);
+        traffic.frameReceived(frame.length);
+        messages.read(codec.verify(frame)).forEach(listener::received);
     }
 
     /**
@@ -166,10 +166,11 @@
      *
      * @param exception The failure.
      */
-    private void refuse(Exception exception) {
-        if (exception instanceof MartenwellException known && known.kind() == ErrorKind.BAD_FRAME) {
-            traffic.refused();
-            LOGGER.warn(LogEvent.of("peer-refused").with("reason", known.getMessage()).message());
+    private void recordFailure(Exception exception) {
+        if (exception instanceof MartenwellException failure
+                && failure.kind() == ErrorKind.BAD_FRAME) {
+            traffic.frameRejected();
+            LOGGER.warn(LogEvent.of("peer-refused").with("reason", failure.getMessage()).message());
         }
     }
 }
--- a/src/main/java/org/martenwell/peer/PeerTraffic.java
+++ b/src/main/java/org/martenwell/peer/PeerTraffic.java
@@ -29,7 +29,7 @@
      *
      * @param bytes The size of its length and signature.
      */
-    void framed(int bytes) {
+    void frameOverheadSent(int bytes) {
         bytesSent += bytes;
     }
 
@@ -39,10 +39,10 @@
      * @param type Its kind.
      * @param bytes Its size.
      */
-    void sent(MessageType type, int bytes) {
+    void messageSent(MessageType type, int bytes) {
         bytesSent += bytes;
         messagesSent++;
-        bytesByKind.merge(type.word(), (long) bytes, Long::sum);
+        bytesByKind.merge(type.metricName(), (long) bytes, Long::sum);
     }
 
     /**
@@ -59,12 +59,12 @@
      *
      * @param bytes Its size.
      */
-    void received(int bytes) {
+    void frameReceived(int bytes) {
         bytesReceived += bytes;
     }
 
     /** Counts a frame that was not accepted. */
-    void refused() {
+    void frameRejected() {
         badFrames++;
     }
 
--- a/src/main/java/org/martenwell/peer/ScheduleMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/ScheduleMessageCodec.java
@@ -14,10 +14,10 @@
 import org.martenwell.schedule.SlotReport;
 
 /** The forms of messages about scheduling. */
-final class ScheduleForms {
+final class ScheduleMessageCodec {
 
     /** Not instantiated. */
-    private ScheduleForms() {}
+    private ScheduleMessageCodec() {}
 
     /**
      * Writes a service report.
@@ -52,7 +52,7 @@
         long incarnation = reader.number();
         long sequence = reader.number();
         double liftLevel = reader.service();
-        List<ServiceEntry> entries = reader.list(ScheduleForms::readServiceEntry);
+        List<ServiceEntry> entries = reader.list(ScheduleMessageCodec::readServiceEntry);
         return new ServiceReport(router, incarnation, sequence, liftLevel, entries);
     }
 
@@ -113,9 +113,9 @@
                 coordinatorIncarnation,
                 sequence,
                 complete,
-                reader.list(ScheduleForms::readDemand),
-                reader.list(ScheduleForms::readHolding),
-                reader.list(ScheduleForms::readFailure));
+                reader.list(ScheduleMessageCodec::readDemand),
+                reader.list(ScheduleMessageCodec::readHolding),
+                reader.list(ScheduleMessageCodec::readFailure));
     }
 
     /**
@@ -152,7 +152,7 @@
         long incarnation = reader.number();
         long routerIncarnation = reader.number();
         boolean completeReportRequested = reader.flag();
-        List<SlotGrant> grants = reader.list(ScheduleForms::readSlotGrant);
+        List<SlotGrant> grants = reader.list(ScheduleMessageCodec::readSlotGrant);
         return new SlotGrants(
                 coordinator, incarnation, routerIncarnation, completeReportRequested, grants);
     }
@@ -166,7 +166,7 @@
      */
     private static ServiceEntry readServiceEntry(FieldReader reader) throws IOException {
         return new ServiceEntry(
-                reader.name(), reader.service(), reader.service(), reader.smallNumber());
+                reader.name(), reader.service(), reader.service(), reader.intNumber());
     }
 
     /**
@@ -191,7 +191,7 @@
     private static Demand readDemand(FieldReader reader) throws IOException {
         PoolKind kind = reader.flag() ? PoolKind.MODEL : PoolKind.SERVICE;
         Pool pool = new Pool(kind, reader.name());
-        return new Demand(pool, reader.name(), reader.smallNumber(), reader.number());
+        return new Demand(pool, reader.name(), reader.intNumber(), reader.number());
     }
 
     /**
@@ -208,8 +208,8 @@
                 reader.name(),
                 reader.number(),
                 reader.number(),
-                reader.smallNumber(),
-                reader.smallNumber());
+                reader.intNumber(),
+                reader.intNumber());
     }
 
     /**
--- a/src/test/java/org/martenwell/peer/MessageCodecTest.java
+++ b/src/test/java/org/martenwell/peer/MessageCodecTest.java
@@ -33,7 +33,7 @@
 import org.martenwell.share.ShareCounts;
 import org.martenwell.share.ShareSums;
 
-class MessageFormsTest {
+class MessageCodecTest {
 
     @Property(tries = 500, seed = "2")
     void testBatchHoldsItsReports(@ForAll("messages") List<PeerMessage> messages) {
@@ -74,9 +74,9 @@
             @ForAll byte[] payload, @ForAll int place, @ForAll byte difference) {
         byte[] nonce = new byte[FrameCodec.NONCE_BYTES];
         byte[] frame = new FrameCodec("key", nonce).seal(payload);
-        assertThat(new FrameCodec("key", nonce).open(frame)).isEqualTo(payload);
+        assertThat(new FrameCodec("key", nonce).verify(frame)).isEqualTo(payload);
         frame[Math.floorMod(place, frame.length)] ^= (byte) (difference | 1);
-        assertThatThrownBy(() -> new FrameCodec("key", nonce).open(frame))
+        assertThatThrownBy(() -> new FrameCodec("key", nonce).verify(frame))
                 .isInstanceOf(MartenwellException.class);
     }
 
@@ -85,8 +85,8 @@
         byte[] nonce = new byte[FrameCodec.NONCE_BYTES];
         byte[] frame = new FrameCodec("key", nonce).seal(payload);
         FrameCodec receiver = new FrameCodec("key", nonce);
-        receiver.open(frame);
-        assertThatThrownBy(() -> receiver.open(frame)).isInstanceOf(MartenwellException.class);
+        receiver.verify(frame);
+        assertThatThrownBy(() -> receiver.verify(frame)).isInstanceOf(MartenwellException.class);
     }
 
     @Provide
@@ -128,7 +128,7 @@
         Arbitrary<PeerMessage> slotGrants =
                 Combinators.combine(names, numbers, numbers, flags, grants.list().ofMaxSize(4))
                         .as(SlotGrants::new);
-        Arbitrary<PeerMessage> answers =
+        Arbitrary<PeerMessage> configurationResponses =
                 Combinators.combine(numbers, names).as(ConfigurationAnswer::new);
         Arbitrary<PeerMessage> notices = Combinators.combine(names, flags).as(TargetNotice::new);
         Arbitrary<LoadSums> loadSums =
@@ -138,7 +138,7 @@
                         .as((asked, begun, within) -> new ShareSums(asked, begun, within));
         Arbitrary<Fingerprint> fingerprints =
                 Combinators.combine(numbers, numbers).as(Fingerprint::new);
-        Arbitrary<QuarantineWord> words =
+        Arbitrary<QuarantineWord> quarantineUpdates =
                 Combinators.combine(fingerprints, Arbitraries.of(WordKind.class), names)
                         .as(QuarantineWord::new);
         Arbitrary<PeerMessage> gatewayReports =
@@ -159,7 +159,7 @@
                                         .list()
                                         .ofMaxSize(5),
                                 names.list().ofMaxSize(5),
-                                words.list().ofMaxSize(5))
+                                quarantineUpdates.list().ofMaxSize(5))
                         .as(GatewayReport::new);
         Arbitrary<PeerMessage> batches =
                 Combinators.combine(names, gatewayReports.list().ofMaxSize(3))
@@ -170,7 +170,7 @@
                         serviceReports,
                         slotReports,
                         slotGrants,
-                        answers,
+                        configurationResponses,
                         notices,
                         gatewayReports)
                 .list()
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -26,7 +26,7 @@
     private final String address = LoopbackPorts.free(1).get(0);
 
     private final PeerNetwork network =
-            new PeerNetwork(thread.loop(), address, "key", new Random(1), new Deaf());
+            new PeerNetwork(thread.loop(), address, "key", new Random(1), new IgnoringListener());
 
     @AfterEach
     void stop() {
@@ -62,7 +62,7 @@
     }
 
     /** Takes no notice of anything. */
-    private static final class Deaf implements PeerListener {
+    private static final class IgnoringListener implements PeerListener {
 
         @Override
         public void received(PeerMessage message) {}
--- a/src/test/java/org/martenwell/peer/SilentPeer.java
+++ b/src/test/java/org/martenwell/peer/SilentPeer.java
@@ -15,7 +15,7 @@
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
     /** The connections that were taken; all stay open. */
-    private final List<Socket> taken = new CopyOnWriteArrayList<>();
+    private final List<Socket> accepted = new CopyOnWriteArrayList<>();
 
     /** What is sent over each connection. */
     private final byte[] greeting;
@@ -27,7 +27,7 @@
      */
     SilentPeer(byte[] greeting) throws IOException {
         this.greeting = greeting;
-        Thread thread = new Thread(this::take, "silent-peer");
+        Thread thread = new Thread(this::acceptConnections, "silent-peer");
         thread.setDaemon(true);
         thread.start();
     }
@@ -37,14 +37,14 @@
     }
 
     int connections() {
-        return taken.size();
+        return accepted.size();
     }
 
-    private void take() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = server.accept();
-                taken.add(socket);
+                accepted.add(socket);
                 socket.getOutputStream().write(greeting);
             }
         } catch (IOException expected) {
@@ -55,7 +55,7 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket each : taken) {
+        for (Socket each : accepted) {
             each.close();
         }
     }
