--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -5,44 +5,44 @@
 import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.route.GatewayConfiguration;
 
-/** Is told of what a directory holds. */
+/** Receives the contents of a {@link FleetDirectory} and their changes. */
 public interface DirectoryListener {
 
     /**
-     * Called for each configuration that is newer than all before.
+     * Called when the directory or a peer provides a configuration newer than every earlier one.
      *
-     * @param configuration The configuration.
-     * @param document The document that it was read from.
+     * @param configuration The parsed configuration.
+     * @param document The JSON document it was parsed from, to be forwarded to peers.
      */
     void configured(GatewayConfiguration configuration, String document);
 
     /**
-     * Called when an entry can't be read, once for each version of it. It names no target to use;
-     * all others hold.
+     * Called once per version of an entry that can't be parsed. The entry is ignored; all other
+     * entries are unaffected.
      *
      * @param name The entry's name.
-     * @param reason What is wrong with it.
+     * @param reason A description of the error, for the log.
      */
     void unreadable(String name, String reason);
 
     /**
-     * Called when targets changed.
+     * Called when the set of targets or one of them has changed.
      *
-     * @param targets All targets by id.
+     * @param targets All current targets by id.
      */
     void targets(Map<String, DirectoryTarget> targets);
 
     /**
-     * Called when gateways changed.
+     * Called when the set of gateways or one of them has changed.
      *
-     * @param members All gateways by name, this one among them.
+     * @param members All current gateways by name, including this one.
      */
     void members(Map<String, GatewayMember> members);
 
     /**
-     * Called when the requests that are held back changed.
+     * Called when the set of quarantined requests has changed.
      *
-     * @param requests All of them by fingerprint.
+     * @param requests All quarantined requests by fingerprint.
      */
     void heldRequests(Map<Fingerprint, HeldRequest> requests);
 }
--- a/src/main/java/org/martenwell/directory/DirectoryTarget.java
+++ b/src/main/java/org/martenwell/directory/DirectoryTarget.java
@@ -4,17 +4,18 @@
 import java.util.OptionalLong;
 
 /**
- * A target as the directory tells it. A target may start again under its id; it then keeps nothing
- * of before, so all that is believed of it hangs on its life.
+ * Target as described by its entry in the directory. A target that restarts keeps its id but loses
+ * its state, such as its prompt cache, so state about a target must be associated with its
+ * incarnation.
  *
  * @param id The target's id.
- * @param bornMillis When it started, in milliseconds since 1970 by its own clock; empty at
- *     deployments whose targets do not tell.
- * @param service The service that it belongs to.
- * @param address Its address.
- * @param failureDomain Its failure domain.
- * @param slots How many requests it runs at a time.
- * @param leaving Whether it takes no new work.
+ * @param bornMillis The start time of the target's process by its own clock, in milliseconds since
+ *     the epoch; empty in deployments whose targets don't publish it.
+ * @param service The name of the service that the target belongs to.
+ * @param address The address that accepts requests.
+ * @param failureDomain The target's failure domain.
+ * @param slots The number of requests that the target runs concurrently.
+ * @param leaving {@code true} if the target is draining and accepts no new requests.
  */
 public record DirectoryTarget(
         String id,
@@ -25,14 +26,15 @@
         int slots,
         boolean leaving) {
 
-    /** How the start is written in a life. */
+    /** The radix of the start time in an incarnation. */
     private static final int START_RADIX = 36;
 
     /**
-     * Returns the name of the target's present life, by which gateways tell each other of it.
+     * Returns the identifier of the target's current incarnation, which gateways use in messages to
+     * each other.
      *
-     * @return The id and the start, like {@code i-7f3a91c2@lxk3f9a0}, or the id alone if the start
-     *     is not told.
+     * @return The id and the start time, such as {@code i-7f3a91c2@lxk3f9a0}, or only the id if the
+     *     start time is unknown.
      */
     public String life() {
         return bornMillis.isPresent()
--- a/src/main/java/org/martenwell/directory/EntryChange.java
+++ b/src/main/java/org/martenwell/directory/EntryChange.java
@@ -1,9 +1,9 @@
 package org.martenwell.directory;
 
 /**
- * A change of an object.
+ * Change of one object in the store.
  *
- * @param entry The object.
- * @param gone Whether it is gone.
+ * @param entry The object; only its name is meaningful if it was removed.
+ * @param gone {@code true} if the object was removed.
  */
 public record EntryChange(StoredEntry entry, boolean gone) {}
--- a/src/main/java/org/martenwell/directory/EntryChanges.java
+++ b/src/main/java/org/martenwell/directory/EntryChanges.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * The changes of objects of a kind since a revision.
+ * Changes of the objects of one kind since a given revision.
  *
- * @param changes The changes in order.
- * @param revision The revision from which to go on.
- * @param lost Whether the store does not know all changes since then any more.
+ * @param changes The changes in the order in which they occurred.
+ * @param revision The revision to watch from next.
+ * @param lost {@code true} if the store no longer has all changes since the given revision, so that
+ *     the objects must be listed again.
  */
 public record EntryChanges(List<EntryChange> changes, long revision, boolean lost) {
 
-    /** The history is lost. */
+    /** The result of a watch whose starting revision is no longer in the store's history. */
     public static final EntryChanges LOST = new EntryChanges(List.of(), 0, true);
 }
--- a/src/main/java/org/martenwell/directory/EntryPage.java
+++ b/src/main/java/org/martenwell/directory/EntryPage.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A part of the objects of a kind.
+ * One page of a listing of the objects of a kind.
  *
- * @param entries The objects.
- * @param more Whether more follow behind the last one's name.
- * @param revision The store's revision at which they stood so.
+ * @param entries The objects, in order of their names.
+ * @param more {@code true} if objects follow after the last name on this page.
+ * @param revision The store's revision at which the page was read.
  */
 public record EntryPage(List<StoredEntry> entries, boolean more, long revision) {}
--- a/src/main/java/org/martenwell/directory/EntryReader.java
+++ b/src/main/java/org/martenwell/directory/EntryReader.java
@@ -3,59 +3,43 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.martenwell.route.GatewayConfiguration;
 
-/** Reads the objects of a store as values of this program and writes its own. */
+/**
+ * Maps the objects of a deployment's store to the gateway's types. Names the kinds of objects that
+ * the gateway reads and writes.
+ */
 public interface EntryReader {
 
-    /**
-     * Returns the kind of the configuration.
-     *
-     * @return The kind.
-     */
+    /** {@return the kind of configuration objects} */
     String configurationKind();
 
-    /**
-     * Returns the name of the configuration in force.
-     *
-     * @return The name.
-     */
+    /** {@return the name of the configuration object in force} */
     String configurationName();
 
-    /**
-     * Returns the kind of targets.
-     *
-     * @return The kind.
-     */
+    /** {@return the kind of target objects} */
     String targetKind();
 
-    /**
-     * Returns the kind of gateways, which this program makes.
-     *
-     * @return The kind.
-     */
+    /** {@return the kind of gateway objects, which gateways write themselves} */
     String gatewayKind();
 
-    /**
-     * Returns the kind of requests that are held back, which this program makes.
-     *
-     * @return The kind.
-     */
+    /** {@return the kind of quarantined-request objects, which gateways write themselves} */
     String heldRequestKind();
 
     /**
-     * Reads a configuration.
+     * Parses a configuration.
      *
-     * @param value The value.
+     * @param value The object's value.
      * @return The configuration.
+     * @throws RuntimeException If the value is not a valid configuration.
      */
     GatewayConfiguration configuration(JsonNode value);
 
     /**
-     * Reads a target.
+     * Parses a target.
      *
-     * @param id The target's id.
-     * @param value The value.
+     * @param id The target's id, which is the object's name.
+     * @param value The object's value.
      * @return The target.
-     * @throws org.martenwell.error.MartenwellException If a field is missing, of another type or
+     * @throws org.martenwell.error.MartenwellException If a field is missing, has the wrong type or
      *     has an unknown value.
      */
     DirectoryTarget target(String id, JsonNode value);
--- a/src/main/java/org/martenwell/directory/FleetDirectory.java
+++ b/src/main/java/org/martenwell/directory/FleetDirectory.java
@@ -4,44 +4,48 @@
 import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.service.ManagedService;
 
-/** Tells gateways the configuration, the targets and each other. */
+/**
+ * Source of the configuration, the targets and the gateways of a fleet. Changes are reported to a
+ * {@link DirectoryListener}.
+ */
 public interface FleetDirectory extends ManagedService {
 
     /**
-     * Reads a configuration's document, which a peer passed on.
+     * Applies a configuration that a peer forwarded, if it is newer than the one in force.
      *
-     * @param document The document.
+     * @param document The configuration as JSON.
      */
     void passedOn(String document);
 
-    /** Looks at once whether targets have changed, because a peer knows more. */
+    /** Lists the targets immediately; called when a peer has newer information on them. */
     void refresh();
 
-    /** Looks soon whether gateways have joined, because one that is not known reported. */
+    /** Lists the gateways soon; called when an unknown gateway sends a report. */
     void refreshMembers();
 
     /**
-     * Takes another gateway out of the directory, because it is gone; not if it has joined again.
+     * Removes the entry of another gateway that is no longer running. The entry stays if the
+     * gateway has joined again in the meantime.
      *
      * @param name The gateway's name.
      */
     void removeMember(String name);
 
     /**
-     * Keeps a request that is held back, so that gateways which start later know it. Tried again
-     * until the directory has it.
+     * Stores a quarantined request, so that gateways that start later know it. A failed write is
+     * retried until it succeeds.
      *
      * @param request The request.
      */
     void hold(HeldRequest request);
 
     /**
-     * Keeps a request no longer, since it was served.
+     * Removes a quarantined request after it was served successfully.
      *
-     * @param fingerprint The request.
+     * @param fingerprint The request's fingerprint.
      */
     void release(Fingerprint fingerprint);
 
-    /** Takes this gateway out of the directory, because it stops. */
+    /** Removes this gateway's entry before it shuts down. */
     void leave();
 }
--- a/src/main/java/org/martenwell/directory/Freshness.java
+++ b/src/main/java/org/martenwell/directory/Freshness.java
@@ -1,11 +1,11 @@
 package org.martenwell.directory;
 
-/** How fresh a list of objects must be. */
+/** Consistency required of a listing. */
 public enum Freshness {
 
-    /** As the objects stand now. */
+    /** Reflects all writes completed before the call. */
     CURRENT,
 
-    /** As they stood some seconds ago at worst, which costs the store far less. */
+    /** May be some seconds old, which is far cheaper for the store. */
     STALE
 }
--- a/src/main/java/org/martenwell/directory/GatewayMember.java
+++ b/src/main/java/org/martenwell/directory/GatewayMember.java
@@ -1,12 +1,13 @@
 package org.martenwell.directory;
 
 /**
- * A gateway as it made itself known.
+ * Gateway as described by its own entry in the directory.
  *
- * @param name The name.
- * @param failureDomain The failure domain.
- * @param peerAddress Where it takes peers' connections.
- * @param processors How much processor time it has, in processors of common speed.
+ * @param name The unique name.
+ * @param failureDomain The failure domain; empty if unknown.
+ * @param peerAddress The address that accepts connections from peers.
+ * @param processors The available processor time, as a number of processors of standard speed; 0 if
+ *     unknown.
  */
 public record GatewayMember(
         String name, String failureDomain, String peerAddress, double processors) {}
--- a/src/main/java/org/martenwell/directory/HeldRequestJson.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestJson.java
@@ -11,38 +11,35 @@
 import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.quarantine.RequestSummary;
 
-/** The form of requests that are held back in a store. The object's name is the fingerprint. */
+/**
+ * JSON representation of quarantined requests in the store. The object's name is the request's
+ * fingerprint.
+ */
 final class HeldRequestJson {
 
-    /** Since when it is held back, in milliseconds since 1970. */
     private static final String SINCE = "sinceMillis";
 
-    /** The lives of targets that ended under it. */
+    /** Field with the incarnations of the targets that crashed while they ran the request. */
     private static final String INCARNATIONS = "targetsEnded";
 
-    /** The name of the gateway that made it known. */
+    /** Field with the name of the gateway that quarantined the request. */
     private static final String GATEWAY = "gateway";
 
-    /** The request's method. */
     private static final String METHOD = "method";
 
-    /** The host of its route. */
     private static final String HOST = "host";
 
-    /** Its path without the query. */
     private static final String PATH = "path";
 
-    /** The caller's organisation. */
     private static final String ORGANISATION = "organisation";
 
-    /** Not instantiated. */
     private HeldRequestJson() {}
 
     /**
-     * Writes a request.
+     * Converts a request to JSON.
      *
      * @param request The request.
-     * @return Its form.
+     * @return The object's value.
      */
     static JsonNode write(HeldRequest request) {
         ObjectNode value = JsonNodeFactory.instance.objectNode();
@@ -58,11 +55,11 @@
     }
 
     /**
-     * Reads a request. Only its name and since when it is held back decide anything; the rest is
-     * for operators and may be missing.
+     * Parses a request. Only the fingerprint and the time are required; the other fields are
+     * informational and may be missing.
      *
-     * @param entry Its object.
-     * @return The request or empty if it can't be read.
+     * @param entry The object.
+     * @return The request, or empty if the object is malformed.
      */
     static Optional<HeldRequest> read(StoredEntry entry) {
         JsonNode value = entry.value();
@@ -84,12 +81,6 @@
                                         value.path(SINCE).asLong()));
     }
 
-    /**
-     * Reads the lives of targets.
-     *
-     * @param list The lives.
-     * @return The lives.
-     */
     private static Set<String> readIncarnations(JsonNode list) {
         Set<String> incarnations = new LinkedHashSet<>();
         list.forEach(each -> incarnations.add(each.asText("")));
--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -17,48 +17,41 @@
 import org.martenwell.quarantine.Quarantine;
 import org.martenwell.service.ManagedService;
 
-/** Keeps the requests that are held back in a store and follows them there. */
+/** Stores quarantined requests and reports those that other gateways have stored. */
 final class HeldRequestStore implements ManagedService {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(HeldRequestStore.class);
 
-    /** How long after a failure a request is written again, in milliseconds. */
+    /** The delay before a failed write is retried, in milliseconds. */
     private static final long RETRY_MILLIS = 1_000;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The store. */
     private final ObjectStore store;
 
-    /** The kind of the objects. */
     private final String kind;
 
-    /** Is told of the requests. */
     private final DirectoryListener listener;
 
-    /** The time of day, by which requests are no longer held back. */
+    /** The wall clock, by which quarantines expire. */
     private final Clock clock;
 
-    /** Lists the requests. */
     private final KindPoller poller;
 
-    /** The requests that the store does not have yet. */
+    /** The requests whose write has not succeeded yet. */
     private final Set<Fingerprint> unwritten = new HashSet<>();
 
-    /** Whether nothing is written any more. */
     private boolean stopped;
 
     /**
-     * Creates what keeps requests.
+     * Creates a store access that is not started.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param store The store.
-     * @param kind The kind of the objects.
-     * @param random Spreads lists.
-     * @param listener Is told of the requests.
-     * @param clock The time of day.
+     * @param kind The kind of quarantined-request objects.
+     * @param random The source of jitter for listings.
+     * @param listener Receives the quarantined requests.
+     * @param clock The wall clock.
      */
     HeldRequestStore(
             NioReactor reactor,
@@ -91,7 +84,8 @@
     }
 
     /**
-     * Keeps a request, unless the store has it already. Tried again until the store has it.
+     * Stores a request, unless an object of its fingerprint exists. A failed write is retried until
+     * it succeeds, the request is released or this service stops.
      *
      * @param request The request.
      */
@@ -102,20 +96,15 @@
     }
 
     /**
-     * Keeps a request no longer.
+     * Removes a request and cancels pending retries of its write.
      *
-     * @param fingerprint The request.
+     * @param fingerprint The request's fingerprint.
      */
     void release(Fingerprint fingerprint) {
         unwritten.remove(fingerprint);
         remove(fingerprint.toString(), Optional.empty());
     }
 
-    /**
-     * Writes a request.
-     *
-     * @param request The request.
-     */
     private void write(HeldRequest request) {
         if (stopped || !unwritten.contains(request.fingerprint())) {
             return;
@@ -130,10 +119,11 @@
     }
 
     /**
-     * Removes a request's object.
+     * Removes a request's object. A failure is logged and not retried.
      *
      * @param name The object's name.
-     * @param revision The revision at which it must still be, or empty if any will do.
+     * @param revision The revision that the object must still have, or empty to remove any
+     *     revision.
      */
     private void remove(String name, Optional<Long> revision) {
         store.remove(kind, name, revision)
@@ -141,10 +131,10 @@
     }
 
     /**
-     * Takes in all requests. One that was held back long enough is removed; one that can't be read
-     * is passed over.
+     * Reports the listed requests to the listener. Objects whose quarantine has expired are
+     * removed; malformed objects are reported and ignored.
      *
-     * @param entries Their objects.
+     * @param entries The listed objects by name.
      */
     private void apply(Map<String, StoredEntry> entries) {
         long expiredBefore = clock.millis() - Quarantine.HELD_MILLIS;
@@ -152,7 +142,7 @@
         for (StoredEntry each : entries.values()) {
             Optional<HeldRequest> request = HeldRequestJson.read(each);
             if (request.isEmpty()) {
-                listener.unreadable(each.name(), "It is no request that is held back.");
+                listener.unreadable(each.name(), "The object is not a valid quarantined request.");
             } else if (request.get().sinceMillis() < expiredBefore) {
                 remove(each.name(), Optional.of(each.revision()));
             } else {
@@ -162,13 +152,6 @@
         listener.heldRequests(held);
     }
 
-    /**
-     * Logs a call that failed.
-     *
-     * @param event What was not done.
-     * @param name The request.
-     * @param failure Why.
-     */
     private static void logFailure(String event, Object name, Exception failure) {
         LOGGER.warn(
                 LogEvent.of(event)
--- a/src/main/java/org/martenwell/directory/KindListing.java
+++ b/src/main/java/org/martenwell/directory/KindListing.java
@@ -7,21 +7,21 @@
 import java.util.Optional;
 
 /**
- * All objects of one kind.
+ * Complete listing of the objects of one kind.
  *
  * @param entries The objects by name.
- * @param revision A revision of the store from which no change is missed.
+ * @param revision The revision to watch from without missing a change.
  */
 record KindListing(Map<String, StoredEntry> entries, long revision) {
 
     /**
-     * Lists all objects of a kind, page by page. The objects of the first page may change while the
-     * others are read, so the listing goes by the revision of the first.
+     * Lists all objects of a kind, page by page. Objects may change while later pages are read, so
+     * the listing has the revision of the first page.
      *
      * @param store The store.
      * @param kind The kind.
-     * @param freshness How fresh the list must be.
-     * @return The objects.
+     * @param freshness The required consistency.
+     * @return The listing.
      */
     static Promise<KindListing> of(ObjectStore store, String kind, Freshness freshness) {
         return store.list(kind, Optional.empty(), freshness)
@@ -29,14 +29,14 @@
     }
 
     /**
-     * Reads the pages behind one.
+     * Reads all pages that follow the given one.
      *
      * @param store The store.
      * @param kind The kind.
-     * @param freshness How fresh the list must be.
-     * @param page The page.
-     * @param listed The listing up to this page; its entries receive the others.
-     * @return The objects.
+     * @param freshness The required consistency.
+     * @param page The last page that was read.
+     * @param listed The listing so far, to which the entries of further pages are added.
+     * @return The complete listing.
      */
     private static Promise<KindListing> followingPages(
             ObjectStore store,
@@ -57,12 +57,6 @@
                         });
     }
 
-    /**
-     * Begins a listing.
-     *
-     * @param page The first page.
-     * @return The listing of that page alone.
-     */
     private static KindListing firstPage(EntryPage page) {
         Map<String, StoredEntry> entries = new HashMap<>();
         page.entries().forEach(each -> entries.put(each.name(), each));
--- a/src/main/java/org/martenwell/directory/KindPoller.java
+++ b/src/main/java/org/martenwell/directory/KindPoller.java
@@ -6,61 +6,65 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Keeps up with the objects of one kind by lists that need not be fresh. Where many watch and many
- * change, as gateways do when all of them start, watches would cost a call for each pair; lists
- * cost each a small and constant number of calls. Who learns of an object in another way asks for a
- * fresh list by {@link #refresh}.
+ * Keeps a copy of all objects of one kind by listing them periodically. Suits objects that every
+ * gateway both writes and reads: when a fleet starts, watches would cost one call per pair of
+ * gateways, while the cost of polling per gateway is constant. Call {@link #refresh} to learn
+ * sooner of an object known from elsewhere.
  */
 final class KindPoller implements ManagedService {
 
-    /** How long after the first list another fresh one follows, in milliseconds. */
+    /**
+     * The delay between the first and the second {@link Freshness#CURRENT} list, in milliseconds.
+     */
     private static final long SETTLE_MILLIS = 1_500;
 
-    /** The shortest time between a list and a refresh, in milliseconds. */
+    /** The minimum time between the start of a list and a refresh, in milliseconds. */
     private static final long MIN_REFRESH_MILLIS = 500;
 
-    /** How long it is from a failure to the next list before the first one, in milliseconds. */
+    /** The mean delay before a retry until the first list has succeeded, in milliseconds. */
     private static final long INITIAL_RETRY_MILLIS = 400;
 
     /**
-     * How long it is from a later failure to the next list, in milliseconds. Who joined or left
-     * meanwhile is heard of by reports; what a gateway must not miss other kinds bring.
+     * The mean delay before a retry after the first list has succeeded, in milliseconds. Membership
+     * changes in the meantime are also learned from reports of peers.
      */
     private static final long RETRY_MILLIS = 1_500;
 
-    /** Where the objects come from. */
     private final KindSource source;
 
-    /** Whether the store answers. */
     private final StoreAvailability availability;
 
-    /** How often the objects are listed. */
     private final PollInterval interval;
 
-    /** Is told of all objects after each change. */
+    /** Receives all objects after each change. */
     private final Consumer<Map<String, StoredEntry>> listener;
 
-    /** The objects at the last list. */
+    /** The objects of the last accepted list. */
     private Map<String, StoredEntry> entries = Map.of();
 
-    /** The revision of the last list, below which no list counts. */
+    /**
+     * The revision of the last accepted list, negative before the first; lists with lower revisions
+     * are ignored.
+     */
     private long revision = -1;
 
-    /** How many fresh lists are due before stale ones do. */
+    /**
+     * The number of {@link Freshness#CURRENT} lists to make before polling switches to stale ones.
+     */
     private int freshListsDue;
 
-    /** When the last list began, in milliseconds. */
+    /** The time at which the last list started, in milliseconds. */
     private long listStartedMillis = Long.MIN_VALUE / 2;
 
-    /** Counts lists and stops; what an earlier one brings is dropped. */
+    /** Incremented for each list and on stop; results of earlier lists are ignored. */
     private int generation;
 
     /**
-     * Creates a poller.
+     * Creates a poller that is not started.
      *
-     * @param source Where the objects come from.
-     * @param interval How often they are listed.
-     * @param listener Is told of all objects after each change.
+     * @param source The source of the objects.
+     * @param interval The intervals between lists.
+     * @param listener Receives all objects by name after each change.
      */
     KindPoller(
             KindSource source, PollInterval interval, Consumer<Map<String, StoredEntry>> listener) {
@@ -83,18 +87,13 @@
         return Promise.complete();
     }
 
-    /** Asks for a fresh list, unless one began a moment ago. */
+    /** Requests a current list, unless a list started less than {@link #MIN_REFRESH_MILLIS} ago. */
     public void refresh() {
         if (source.now() - listStartedMillis >= MIN_REFRESH_MILLIS) {
             list(Freshness.CURRENT);
         }
     }
 
-    /**
-     * Lists the objects.
-     *
-     * @param freshness How fresh the list must be.
-     */
     private void list(Freshness freshness) {
         int callGeneration = ++generation;
         listStartedMillis = source.now();
@@ -115,7 +114,7 @@
     }
 
     /**
-     * Takes in a list. One that is older than another seen before is dropped.
+     * Applies a list, unless it is older than the last accepted one, and schedules the next.
      *
      * @param listing The list.
      */
@@ -136,20 +135,15 @@
         }
     }
 
-    /**
-     * Returns how long it is from a failure to the next list.
-     *
-     * @return The mean time in milliseconds.
-     */
     private long retryMillis() {
         return revision < 0 ? INITIAL_RETRY_MILLIS : RETRY_MILLIS;
     }
 
     /**
-     * Lists the objects after a while.
+     * Schedules a list.
      *
-     * @param millis The mean of the time until then, in milliseconds.
-     * @param freshness How fresh the list must be.
+     * @param millis The mean delay in milliseconds, to which jitter is applied.
+     * @param freshness The required consistency.
      */
     private void listLater(long millis, Freshness freshness) {
         int callGeneration = generation;
--- a/src/main/java/org/martenwell/directory/KindSource.java
+++ b/src/main/java/org/martenwell/directory/KindSource.java
@@ -5,20 +5,20 @@
 import java.util.Random;
 
 /**
- * Reads the objects of one kind from a store, and spreads calls over time.
+ * Access to the objects of one kind, with the clock and the timers of the event loop.
  *
- * @param reactor The loop.
+ * @param reactor The event loop.
  * @param store The store.
  * @param kind The kind.
- * @param random Spreads calls.
+ * @param random The source of jitter.
  */
 record KindSource(NioReactor reactor, ObjectStore store, String kind, Random random) {
 
     /**
      * Lists all objects.
      *
-     * @param freshness How fresh the list must be.
-     * @return The objects.
+     * @param freshness The required consistency.
+     * @return The listing.
      */
     Promise<KindListing> list(Freshness freshness) {
         return KindListing.of(store, kind, freshness);
@@ -27,27 +27,23 @@
     /**
      * Waits for changes.
      *
-     * @param revision The revision from which to go on.
-     * @param waitMillis How long the store may wait for a change, in milliseconds.
-     * @return The changes.
+     * @param revision The revision to watch from.
+     * @param waitMillis The maximum time for which the store waits for a change, in milliseconds.
+     * @return The changes, possibly none.
      */
     Promise<EntryChanges> watch(long revision, long waitMillis) {
         return store.watch(kind, revision, waitMillis);
     }
 
-    /**
-     * Returns the present time.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the event loop's time in milliseconds} */
     long now() {
         return reactor.currentTimeMillis();
     }
 
     /**
-     * Runs a task after a while.
+     * Schedules a task.
      *
-     * @param millis The time until then, in milliseconds.
+     * @param millis The delay in milliseconds.
      * @param task The task.
      */
     void delay(long millis, Runnable task) {
@@ -55,9 +51,10 @@
     }
 
     /**
-     * Runs a task after a time that differs from call to call.
+     * Schedules a task with a random delay between half and one and a half times the mean, so that
+     * gateways don't call the store in step.
      *
-     * @param meanMillis The mean of the time until then, in milliseconds.
+     * @param meanMillis The mean delay in milliseconds, at least 1.
      * @param task The task.
      */
     void delayWithJitter(long meanMillis, Runnable task) {
--- a/src/main/java/org/martenwell/directory/KindWatcher.java
+++ b/src/main/java/org/martenwell/directory/KindWatcher.java
@@ -12,78 +12,76 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Follows the objects of one kind: lists them, then watches them, and lists them again when the
- * store has lost its history or a watch broke. A store that loses its history may have told nothing
- * for a while before, though its revision rose, so that going on from there would miss changes.
- * While the store does not answer, what was last known stays, and what is missing when it is back
- * stays for a while longer; see {@link RetainedEntries}.
+ * Keeps a copy of all objects of one kind: lists them, then watches for changes. Lists them again
+ * after a watch has failed or the store has lost its history; resuming the watch instead could miss
+ * changes, because a store that loses its history may have skipped some while its revision
+ * advanced.
+ *
+ * <p>While the store is unavailable, the last known objects stay in use. Objects that are missing
+ * afterwards are retained for a grace period; see {@link RetainedEntries}.
  */
 final class KindWatcher implements ManagedService {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(KindWatcher.class);
 
-    /** The first delay after a failure, in milliseconds. */
+    /** The first delay before a retry, in milliseconds. */
     private static final long INITIAL_DELAY_MILLIS = 40;
 
     /**
-     * The longest mean delay after a failure, in milliseconds. With 0.4 s to connect and 1.5 times
-     * the mean, two attempts in a row may fail and a gateway still catches up within 3 s.
+     * The maximum mean delay before a retry, in milliseconds. Delays are at most 1.5 times the
+     * mean, and a connection attempt takes up to 400 ms, so two failed attempts in a row fit into
+     * the 3 s within which a gateway must catch up after an outage.
      */
     private static final long MAX_DELAY_MILLIS = 600;
 
     /**
-     * How long lapsed entries count behind the first list, in milliseconds: owners enter themselves
-     * again within about 2 s of the store's return.
+     * The time for which missing entries are retained after the first successful list, in
+     * milliseconds. Owners register again within about 2 s of the store's recovery.
      */
     private static final long RETENTION_MILLIS = 1_800;
 
     /**
-     * How long lapsed entries count at most behind the earliest moment at which the store can have
-     * been back, in milliseconds: a gateway that is back must have caught up within 3 s.
+     * The maximum time for which missing entries are retained after the last failed list began, in
+     * milliseconds. A gateway must have caught up within 3 s of the store's recovery.
      */
     private static final long MAX_CATCH_UP_MILLIS = 2_800;
 
-    /** Where the objects come from. */
     private final KindSource source;
 
-    /** Returns how the store is watched. */
     private final Supplier<WatchTiming> timing;
 
-    /** Returns the group of an object, within which objects stand in for each other. */
+    /** Returns the group of an object, such as a target's service. */
     private final Function<StoredEntry, String> group;
 
-    /** Is told of all objects after each change. */
+    /** Receives all objects after each change. */
     private final Consumer<Map<String, StoredEntry>> listener;
 
-    /** The objects by name. */
     private Map<String, StoredEntry> entries = new HashMap<>();
 
-    /** The objects that were missing after the last outage. */
+    /** The objects that were missing after the last outage and are still reported. */
     private RetainedEntries retained = RetainedEntries.NONE;
 
-    /** Whether the store answers. */
     private final StoreAvailability availability;
 
-    /** The revision from which to go on. */
+    /** The revision to watch from. */
     private long revision;
 
-    /** Whether all objects have to be listed. */
+    /** Set if the next call must be a list rather than a watch. */
     private boolean listDue = true;
 
-    /** The next delay after a failure, in milliseconds. */
     private long delayMillis = INITIAL_DELAY_MILLIS;
 
-    /** Counts restarts; what earlier rounds bring is dropped. */
+    /** Incremented on each restart; results of calls from earlier generations are ignored. */
     private int generation;
 
     /**
-     * Creates a follower.
+     * Creates a watcher that is not started.
      *
-     * @param source Where the objects come from.
-     * @param timing Returns how the store is watched.
-     * @param group Returns the group of an object, within which objects stand in for each other.
-     * @param listener Is told of all objects after each change.
+     * @param source The source of the objects.
+     * @param timing Returns the current timing of watches.
+     * @param group Returns the group of an object, such as a target's service; retention is decided
+     *     per group.
+     * @param listener Receives all objects by name after each change.
      */
     KindWatcher(
             KindSource source,
@@ -109,18 +107,13 @@
         return Promise.complete();
     }
 
-    /** Lists all objects at once. */
+    /** Lists all objects immediately, abandoning any call in progress. */
     public void refresh() {
         generation++;
         listDue = true;
         next(generation);
     }
 
-    /**
-     * Makes the next call.
-     *
-     * @param callGeneration The round.
-     */
     private void next(int callGeneration) {
         if (callGeneration != generation) {
             return;
@@ -132,11 +125,6 @@
         }
     }
 
-    /**
-     * Lists all objects.
-     *
-     * @param callGeneration The round.
-     */
     private void list(int callGeneration) {
         long startedMillis = source.now();
         source.list(Freshness.CURRENT)
@@ -154,12 +142,6 @@
                         });
     }
 
-    /**
-     * Takes in all objects.
-     *
-     * @param callGeneration The round.
-     * @param listing The objects.
-     */
     private void applyListing(int callGeneration, KindListing listing) {
         delayMillis = INITIAL_DELAY_MILLIS;
         listDue = false;
@@ -174,9 +156,9 @@
     }
 
     /**
-     * Keeps for a while what is missing after an outage.
+     * Retains objects that are missing in the first list after an outage.
      *
-     * @param listed The objects that the store holds now.
+     * @param listed The objects that the store holds now, by name.
      */
     private void retainMissing(Map<String, StoredEntry> listed) {
         long now = source.now();
@@ -198,16 +180,10 @@
         }
     }
 
-    /** Tells the listener of all objects. */
     private void notifyListener() {
         listener.accept(retained.mergedInto(entries, source.now()));
     }
 
-    /**
-     * Waits for changes.
-     *
-     * @param callGeneration The round.
-     */
     private void watch(int callGeneration) {
         source.watch(revision, timing.get().waitMillis())
                 .subscribe(
@@ -228,12 +204,6 @@
                         });
     }
 
-    /**
-     * Takes changes in.
-     *
-     * @param callGeneration The round.
-     * @param changes The changes.
-     */
     private void apply(int callGeneration, EntryChanges changes) {
         delayMillis = INITIAL_DELAY_MILLIS;
         availability.responded();
@@ -254,9 +224,9 @@
     }
 
     /**
-     * Tries again after a delay that grows.
+     * Schedules the next call with exponential backoff.
      *
-     * @param callGeneration The round.
+     * @param callGeneration The generation of the failed call.
      */
     private void retryLater(int callGeneration) {
         source.delayWithJitter(delayMillis, () -> next(callGeneration));
--- a/src/main/java/org/martenwell/directory/ObjectStore.java
+++ b/src/main/java/org/martenwell/directory/ObjectStore.java
@@ -4,16 +4,18 @@
 import io.activej.promise.Promise;
 import java.util.Optional;
 
-/** The calls of a store of objects. A call that fails may have been done or not. */
+/**
+ * Client of a versioned object store. A write whose call fails may or may not have been applied.
+ */
 public interface ObjectStore {
 
     /**
-     * Lists objects.
+     * Lists one page of objects in order of their names.
      *
-     * @param kind Their kind.
-     * @param after The name behind which to go on, or empty to begin.
-     * @param freshness How fresh the list must be.
-     * @return The objects.
+     * @param kind The kind of the objects.
+     * @param after The last name of the previous page, or empty for the first page.
+     * @param freshness The required consistency.
+     * @return The page.
      */
     Promise<EntryPage> list(String kind, Optional<String> after, Freshness freshness);
 
@@ -21,8 +23,8 @@
      * Waits for changes.
      *
      * @param kind The kind of the objects.
-     * @param revision The revision since which changes are told.
-     * @param waitMillis How long the store waits for a change, in milliseconds.
+     * @param revision The revision after which changes are returned.
+     * @param waitMillis The maximum time for which the store waits for a change, in milliseconds.
      * @return The changes, possibly none.
      */
     Promise<EntryChanges> watch(String kind, long revision, long waitMillis);
@@ -33,17 +35,17 @@
      * @param kind The kind.
      * @param name The name.
      * @param value The value.
-     * @return Completes once the store has it.
+     * @return A promise that completes when the store has applied the write.
      */
     Promise<Void> put(String kind, String name, JsonNode value);
 
     /**
-     * Creates an object, unless one of its name is there.
+     * Creates an object, unless one with its name exists.
      *
      * @param kind The kind.
      * @param name The name.
      * @param value The value.
-     * @return Completes once the store has one of that name.
+     * @return A promise that completes when the store has an object with that name.
      */
     Promise<Void> create(String kind, String name, JsonNode value);
 
@@ -52,11 +54,12 @@
      *
      * @param kind The kind.
      * @param name The name.
-     * @param revision The revision at which it must still be, or empty if any will do.
-     * @return Completes once it is gone.
+     * @param revision The revision that the object must still have, or empty to remove any
+     *     revision.
+     * @return A promise that completes when the store has processed the removal.
      */
     Promise<Void> remove(String kind, String name, Optional<Long> revision);
 
-    /** Closes the connections. */
+    /** Closes all connections to the store. */
     void close();
 }
--- a/src/main/java/org/martenwell/directory/PollInterval.java
+++ b/src/main/java/org/martenwell/directory/PollInterval.java
@@ -1,32 +1,34 @@
 package org.martenwell.directory;
 
 /**
- * How often the objects of a kind are listed.
+ * Interval between lists of the objects of one kind.
  *
- * @param intervalMillis How long it is from list to list at least, in milliseconds.
- * @param perEntryMillis How much each object adds to that, in milliseconds.
- * @param freshLists How many fresh lists come first, before lists that may be old do.
+ * @param intervalMillis The minimum interval in milliseconds.
+ * @param perEntryMillis The interval per listed object in milliseconds, which applies if the
+ *     product exceeds the minimum.
+ * @param freshLists The number of {@link Freshness#CURRENT} lists after a start, before stale ones
+ *     suffice.
  */
 record PollInterval(long intervalMillis, long perEntryMillis, int freshLists) {
 
     /**
-     * The pace for gateways. Each of them lists all, so that with 100 ms an entry all together make
-     * 10 lists a second however large the fleet is. At 95 gateways lists every 3 s were four in
-     * five of all calls of a calm day. The second fresh list tells who started at the same time.
+     * Interval for gateways. Every gateway lists all of them, so the interval grows with the fleet
+     * to limit the load on the store to 10 lists per second in total. The second current list finds
+     * gateways that started at the same time.
      */
     static final PollInterval GATEWAYS = new PollInterval(3_000, 100, 2);
 
     /**
-     * The pace for requests that are held back. Peers tell of them within a second; lists are for
-     * starts, and for operators who clear one.
+     * Interval for quarantined requests. Peers report new ones within a second; lists serve
+     * gateways that have just started, and removals by an operator.
      */
     static final PollInterval HELD_REQUESTS = new PollInterval(15_000, 0, 1);
 
     /**
-     * Returns how long it is from list to list.
+     * Returns the interval for a number of objects.
      *
-     * @param entries How many objects there are.
-     * @return The mean time in milliseconds.
+     * @param entries The number of objects.
+     * @return The mean interval in milliseconds.
      */
     long millis(int entries) {
         return Math.max(intervalMillis, perEntryMillis * entries);
--- a/src/main/java/org/martenwell/directory/RetainedEntries.java
+++ b/src/main/java/org/martenwell/directory/RetainedEntries.java
@@ -7,43 +7,38 @@
 import java.util.stream.Collectors;
 
 /**
- * Entries that were missing when a store could be reached again. If the store was away, their
- * owners could not renew them, and they are taken to be there for a while, until their owners had
- * the time to enter themselves again. If only this gateway was cut off, their owners have left.
+ * Entries that were missing after an outage of the store and remain in use for a grace period. If
+ * the store itself was unavailable, owners couldn't renew their entries and need time to register
+ * again. If only this gateway was disconnected, the entries were removed on purpose and must not be
+ * used.
  *
- * <p>An outage of the store lapses the entries of all owners alike, while few owners leave at a
- * time. So missing entries are kept only in groups that lost at least as many entries as they have.
+ * <p>The two cases are told apart by the number of missing entries: an outage of the store expires
+ * the entries of all owners, while few owners leave at a time. Entries are retained only in groups
+ * that miss at least as many entries as they still have.
  */
 final class RetainedEntries {
 
-    /** No lapsed entries. */
+    /** An instance without entries. */
     static final RetainedEntries NONE = new RetainedEntries(Map.of(), Long.MIN_VALUE);
 
-    /** The lapsed entries by name. */
     private final Map<String, StoredEntry> entries;
 
-    /** Until when they count, in milliseconds. */
+    /** The end of the grace period, in milliseconds of the event loop's clock. */
     private final long untilMillis;
 
-    /**
-     * Creates lapsed entries.
-     *
-     * @param entries The entries by name.
-     * @param untilMillis Until when they count, in milliseconds.
-     */
     private RetainedEntries(Map<String, StoredEntry> entries, long untilMillis) {
         this.entries = entries;
         this.untilMillis = untilMillis;
     }
 
     /**
-     * Returns the entries that have lapsed.
+     * Selects the missing entries to retain.
      *
-     * @param before The entries when the store was last reached, by name.
-     * @param after The entries that it holds now, by name.
+     * @param before The entries before the outage, by name.
+     * @param after The entries that the store holds now, by name.
      * @param group Returns the group of an entry, such as a target's service.
-     * @param untilMillis Until when the lapsed ones count, in milliseconds.
-     * @return Those that are missing, without those that have left.
+     * @param untilMillis The end of the grace period, in milliseconds of the event loop's clock.
+     * @return The missing entries, without those of groups that lost only a minority.
      */
     static RetainedEntries of(
             Map<String, StoredEntry> before,
@@ -54,7 +49,8 @@
         missing.keySet().removeAll(after.keySet());
         Map<String, Long> missingCounts = countByGroup(missing, group);
         Map<String, Long> presentCounts = countByGroup(after, group);
-        // A departed target that counts as ready got requests until 3.4 s after a cut of 12 s.
+        // A minority of missing entries are targets that were removed while this gateway was
+        // disconnected.
         missing.values()
                 .removeIf(
                         each -> {
@@ -64,43 +60,29 @@
         return missing.isEmpty() ? NONE : new RetainedEntries(missing, untilMillis);
     }
 
-    /**
-     * Counts the entries of each group.
-     *
-     * @param entries The entries by name.
-     * @param group Returns the group of an entry.
-     * @return The number of entries by group.
-     */
     private static Map<String, Long> countByGroup(
             Map<String, StoredEntry> entries, Function<StoredEntry, String> group) {
         return entries.values().stream()
                 .collect(Collectors.groupingBy(group, Collectors.counting()));
     }
 
-    /**
-     * Returns whether there are none.
-     *
-     * @return {@code true} if there are none.
-     */
+    /** {@return {@code true} if no entries are retained} */
     boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /**
-     * Returns the names of the entries.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the retained entries} */
     Set<String> names() {
         return Set.copyOf(entries.keySet());
     }
 
     /**
-     * Adds these entries to those that a store holds, as far as they still count.
+     * Adds the retained entries to those of the store until the grace period ends. An entry in the
+     * store takes precedence over a retained one.
      *
      * @param present The entries that the store holds, by name.
-     * @param now The present time, in milliseconds.
-     * @return All entries by name.
+     * @param now The current time in milliseconds.
+     * @return All entries by name, unmodifiable.
      */
     Map<String, StoredEntry> mergedInto(Map<String, StoredEntry> present, long now) {
         Map<String, StoredEntry> all = new HashMap<>();
--- a/src/main/java/org/martenwell/directory/StoreAvailability.java
+++ b/src/main/java/org/martenwell/directory/StoreAvailability.java
@@ -4,31 +4,29 @@
 import org.apache.logging.log4j.Logger;
 import org.martenwell.observe.LogEvent;
 
-/** Notes when the store last answered about the objects of one kind, and logs when it does not. */
+/** Tracks whether the store responds to calls for the objects of one kind, and logs failures. */
 final class StoreAvailability {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(StoreAvailability.class);
 
-    /** Where the objects come from. */
     private final KindSource source;
 
-    /** When the store last answered, in milliseconds; first when this gateway began to ask. */
+    /** The time of the last response, initially of the creation, in milliseconds. */
     private long lastResponseMillis;
 
-    /** Whether the last list failed, so that the store is away. */
+    /** Set while the last list has failed. */
     private boolean unavailable;
 
-    /** When the first list of the present outage failed, in milliseconds. */
+    /** The time at which the first list of the current outage failed, in milliseconds. */
     private long unavailableSinceMillis;
 
-    /** When the last list that failed began, in milliseconds; the store was away then. */
+    /** The time at which the last failed list started, in milliseconds. */
     private long lastFailedListMillis;
 
     /**
-     * Creates a contact that was not lost.
+     * Creates a tracker that assumes an available store.
      *
-     * @param source Where the objects come from.
+     * @param source The source of the objects.
      */
     StoreAvailability(KindSource source) {
         this.source = source;
@@ -36,52 +34,47 @@
     }
 
     /**
-     * Returns whether the store is away.
+     * Returns whether the last list failed.
      *
-     * @return {@code true} if the last list failed.
+     * @return {@code true} if the store is unavailable.
      */
     boolean unavailable() {
         return unavailable;
     }
 
     /**
-     * Returns when the last list that failed began.
-     *
-     * @return The time in milliseconds.
+     * {@return the time at which the last failed list started, in milliseconds of the event loop's
+     * clock}
      */
     long lastFailedListMillis() {
         return lastFailedListMillis;
     }
 
-    /**
-     * Returns how long the store has been away.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the time since the first list of the last outage failed, in milliseconds} */
     long unavailableMillis() {
         return source.now() - unavailableSinceMillis;
     }
 
-    /** Notes that the store answered. */
+    /** Records a response from the store, which ends an outage. */
     void responded() {
         unavailable = false;
         lastResponseMillis = source.now();
     }
 
     /**
-     * Notes that a watch failed.
+     * Logs a failed watch. A list follows, which decides on the availability.
      *
-     * @param failure Why.
+     * @param failure The cause.
      */
     void watchFailed(Exception failure) {
         warn("watch-failed", failure);
     }
 
     /**
-     * Notes that a list failed. Only the first one of an outage is logged.
+     * Records a failed list. Only the first failure of an outage is logged.
      *
-     * @param startedMillis When it began, in milliseconds.
-     * @param failure Why.
+     * @param startedMillis The time at which the list started, in milliseconds.
+     * @param failure The cause.
      */
     void listFailed(long startedMillis, Exception failure) {
         lastFailedListMillis = startedMillis;
@@ -93,10 +86,10 @@
     }
 
     /**
-     * Logs that a call failed, with the age of what stays in force.
+     * Logs a failed call with the age of the data that stays in use.
      *
-     * @param event What happened.
-     * @param failure Why.
+     * @param event The name of the log event.
+     * @param failure The cause.
      */
     private void warn(String event, Exception failure) {
         LOGGER.warn(
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -21,79 +21,68 @@
 import org.martenwell.route.GatewayConfiguration;
 
 /**
- * A directory in a store of objects. The version in force never falls, whatever the store or peers
- * tell later.
+ * Fleet directory backed by an {@link ObjectStore}. The version of the configuration in force never
+ * decreases, even if the store or a peer provides an older one.
  */
 public final class StoreDirectory implements FleetDirectory {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(StoreDirectory.class);
 
-    /** The field that holds a gateway's address. */
     private static final String PEER_ADDRESS = "peerAddress";
 
-    /** The field of a gateway's failure domain. */
     private static final String FAILURE_DOMAIN = "failureDomain";
 
-    /** The field of a gateway's processor time. */
     private static final String PROCESSORS = "processors";
 
-    /** How long until this gateway makes itself known again after a failure, in milliseconds. */
+    /** The delay before a failed registration is retried, in milliseconds. */
     private static final long JOIN_RETRY_MILLIS = 500;
 
-    /** How long after joining a list may lack this gateway, in milliseconds. */
+    /**
+     * The time after joining during which lists may not contain this gateway yet, in milliseconds.
+     */
     private static final long JOIN_GRACE_MILLIS = 8_000;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The store. */
     private final ObjectStore store;
 
-    /** Reads objects. */
     private final EntryReader reader;
 
-    /** This gateway. */
     private final GatewayMember self;
 
-    /** Is told of what the directory holds. */
     private final DirectoryListener listener;
 
-    /** Follows the configuration. */
     private final KindWatcher configurations;
 
-    /** Follows targets. */
     private final KindWatcher targets;
 
-    /** Follows gateways. */
     private final KindPoller gateways;
 
-    /** Keeps the requests that are held back. */
     private final HeldRequestStore heldRequests;
 
-    /** The version in force. */
+    /** The version of the configuration in force. */
     private long version;
 
-    /** The gateways as they were last listed. */
+    /** The gateway entries of the last list, by name. */
     private Map<String, StoredEntry> members = Map.of();
 
-    /** The revisions of the targets' objects that could not be read, by name. */
+    /** The revisions of target entries that were reported as unreadable, by name. */
     private final Map<String, Long> unreadable = new HashMap<>();
 
-    /** When this gateway last joined, in milliseconds. */
+    /** The time of the last registration, in milliseconds. */
     private long joinedMillis;
 
-    /** Whether this gateway stops. */
+    /** Set once this gateway shuts down, so that it doesn't register again. */
     private boolean leaving;
 
     /**
-     * Creates a directory.
+     * Creates a directory that is not started.
      *
-     * @param reactor The loop.
-     * @param store The store.
-     * @param reader Reads objects.
+     * @param reactor The event loop.
+     * @param store The store, which is closed with this directory.
+     * @param reader Parses the store's objects.
      * @param self This gateway.
-     * @param listener Is told of what the directory holds.
+     * @param listener Receives the contents of the directory.
      */
     public StoreDirectory(
             NioReactor reactor,
@@ -195,30 +184,25 @@
         store.remove(reader.gatewayKind(), self.name(), Optional.empty());
     }
 
-    /**
-     * Returns how the store is watched.
-     *
-     * @return The pace.
-     */
     private WatchTiming watchTiming() {
         return WatchTiming.of(members.size());
     }
 
     /**
-     * Returns the service of a target.
+     * Returns the service of a target, by which its entry is grouped.
      *
-     * @param entry The target's object.
-     * @return The service's name, empty if the object can't be read.
+     * @param entry The target's entry.
+     * @return The name of the service, empty if the entry is malformed.
      */
     private String service(StoredEntry entry) {
         return target(entry).map(DirectoryTarget::service).orElse("");
     }
 
     /**
-     * Reads a target.
+     * Parses a target and reports a malformed entry.
      *
-     * @param entry The target's object.
-     * @return The target or empty if the object can't be read.
+     * @param entry The target's entry.
+     * @return The target, or empty if the entry is malformed.
      */
     private Optional<DirectoryTarget> target(StoredEntry entry) {
         try {
@@ -230,10 +214,10 @@
     }
 
     /**
-     * Tells that an entry can't be read, once for each version of it.
+     * Reports a malformed entry to the listener, once per revision.
      *
      * @param entry The entry.
-     * @param reason What is wrong with it.
+     * @param reason A description of the error.
      */
     private void reportUnreadable(StoredEntry entry, String reason) {
         Long reportedRevision = unreadable.put(entry.name(), entry.revision());
@@ -242,7 +226,7 @@
         }
     }
 
-    /** Makes this gateway known again if another one took it for gone. */
+    /** Registers this gateway again if a peer removed its entry by mistake. */
     private void rejoinIfRemoved() {
         boolean graceExpired = reactor.currentTimeMillis() - joinedMillis > JOIN_GRACE_MILLIS;
         if (graceExpired && !members.containsKey(self.name())) {
@@ -251,7 +235,7 @@
         }
     }
 
-    /** Makes this gateway known. */
+    /** Registers this gateway; a failed write is retried. */
     private void join() {
         if (leaving) {
             return;
@@ -265,11 +249,6 @@
                 .whenException(exception -> reactor.delayBackground(JOIN_RETRY_MILLIS, this::join));
     }
 
-    /**
-     * Takes configurations in.
-     *
-     * @param entries All objects of their kind.
-     */
     private void applyConfigurations(Map<String, StoredEntry> entries) {
         StoredEntry present = entries.get(reader.configurationName());
         if (present != null) {
@@ -278,9 +257,10 @@
     }
 
     /**
-     * Takes a configuration in, if it is newer.
+     * Applies a configuration if it is newer than the one in force. A malformed one is logged and
+     * ignored.
      *
-     * @param document The configuration's document.
+     * @param document The configuration as JSON.
      */
     private void applyConfiguration(JsonNode document) {
         GatewayConfiguration configuration;
@@ -301,9 +281,10 @@
     }
 
     /**
-     * Takes targets in.
+     * Reports all targets to the listener, without malformed entries and those that lack a start
+     * time.
      *
-     * @param entries All objects of their kind.
+     * @param entries All target entries by name.
      */
     private void applyTargets(Map<String, StoredEntry> entries) {
         Map<String, DirectoryTarget> all = new HashMap<>();
@@ -313,16 +294,16 @@
         for (DirectoryTarget each : TargetsWithoutStart.of(all.values())) {
             all.remove(each.id());
             reportUnreadable(
-                    entries.get(each.id()), "The start is missing, which most others tell.");
+                    entries.get(each.id()), "The start time is missing, unlike in most entries.");
         }
         unreadable.keySet().retainAll(entries.keySet());
         listener.targets(all);
     }
 
     /**
-     * Takes gateways in.
+     * Reports all gateways to the listener, without entries that lack an address.
      *
-     * @param entries All objects of their kind.
+     * @param entries All gateway entries by name.
      */
     private void applyGateways(Map<String, StoredEntry> entries) {
         members = entries;
--- a/src/main/java/org/martenwell/directory/TargetsWithoutStart.java
+++ b/src/main/java/org/martenwell/directory/TargetsWithoutStart.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Finds targets whose entries lack their start although most others tell theirs. Such an entry is
- * not the target's own. At a deployment where targets do not tell their starts, none is found.
+ * Finds targets without a start time in deployments where most targets publish one. Such an entry
+ * wasn't written by the target itself and is not trusted.
  */
 final class TargetsWithoutStart {
 
-    /** Not instantiated. */
     private TargetsWithoutStart() {}
 
     /**
-     * Finds them.
+     * Returns the targets that lack a start time, if they are a minority.
      *
      * @param targets All targets.
-     * @return Those that tell no start, if more than half of all do.
+     * @return The targets without a start time; empty if at least half of all targets have none,
+     *     since the deployment then doesn't publish start times.
      */
     static List<DirectoryTarget> of(Collection<DirectoryTarget> targets) {
         List<DirectoryTarget> withoutStart =
--- a/src/main/java/org/martenwell/directory/WatchTiming.java
+++ b/src/main/java/org/martenwell/directory/WatchTiming.java
@@ -1,35 +1,34 @@
 package org.martenwell.directory;
 
 /**
- * How gateways of a fleet watch a store. Each waiting watch is a call, and each change answers the
- * watches of all gateways, so the larger the fleet, the slower the pace. What is urgent then comes
- * from peers: newer configurations and targets that leave.
+ * Timing of watches on the store. Each pending watch is a call, and each change completes the
+ * watches of all gateways, so watches become less frequent as the fleet grows. Urgent changes, such
+ * as new configurations and draining targets, also arrive from peers.
  *
- * @param waitMillis How long the store may wait for a change, in milliseconds.
- * @param batchMillis How long changes are gathered before the next watch, in milliseconds.
+ * @param waitMillis The maximum time for which the store waits for a change, in milliseconds.
+ * @param batchMillis The delay between a change and the next watch, during which further changes
+ *     accumulate, in milliseconds.
  */
 record WatchTiming(long waitMillis, long batchMillis) {
 
-    /** How long the store may wait in the smallest fleet, in milliseconds. */
+    /** The wait of the smallest fleet, in milliseconds. */
     private static final long MIN_WAIT_MILLIS = 5_000;
 
-    /** How much each gateway adds to that, in milliseconds. */
+    /** The additional wait per gateway, in milliseconds. */
     private static final long WAIT_MILLIS_PER_MEMBER = 80;
 
-    /** The longest time that the store may wait, in milliseconds. */
     private static final long MAX_WAIT_MILLIS = 15_000;
 
-    /** How much each gateway adds to the time for which changes are gathered, in milliseconds. */
+    /** The additional batching delay per gateway, in milliseconds. */
     private static final long BATCH_MILLIS_PER_MEMBER = 12;
 
-    /** The longest time for which changes are gathered, in milliseconds. */
     private static final long MAX_BATCH_MILLIS = 750;
 
     /**
-     * Returns the pace of a fleet.
+     * Returns the timing for a fleet.
      *
-     * @param members How many gateways it has.
-     * @return The pace.
+     * @param members The number of gateways.
+     * @return The timing.
      */
     static WatchTiming of(int members) {
         return new WatchTiming(
--- a/src/main/java/org/martenwell/directory/package-info.java
+++ b/src/main/java/org/martenwell/directory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where gateways learn the configuration, the targets and each other from. What a deployment offers
- * for that stands behind {@link org.martenwell.directory.FleetDirectory}.
+ * Discovery of the configuration, the targets and the gateways of a fleet. {@link
+ * org.martenwell.directory.FleetDirectory} abstracts from the store that a deployment provides.
  */
 package org.martenwell.directory;
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -48,7 +48,7 @@
                     Clock.fixed(Instant.ofEpochMilli(NOW_MILLIS), ZoneOffset.UTC));
 
     @Test
-    void testRequestIsReadAsItWasWritten() {
+    void testWrittenRequestIsRead() {
         HeldRequest request = request(NOW_MILLIS);
         requests.hold(request);
         start();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void testRequestIsWrittenAgainUntilTheStoreHasIt() {
+    void testFailedWriteIsRetriedUntilItSucceeds() {
         store.failures = 2;
         requests.hold(request(NOW_MILLIS));
         assertThat(store.objects).isEmpty();
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void testRequestThatWasServedMeanwhileIsNotWrittenAgain() {
+    void testReleasedRequestIsNotRetried() {
         store.failures = 1;
         requests.hold(request(NOW_MILLIS));
         requests.release(HARMFUL);
@@ -75,9 +75,9 @@
         assertThat(store.objects).isEmpty();
     }
 
-    /** An object that somebody else spoilt costs none of the others. */
+    /** One malformed object must not prevent the others from being read. */
     @Test
-    void testObjectsThatCannotBeReadArePassedOver() {
+    void testMalformedObjectsAreReportedAndIgnored() {
         requests.hold(request(NOW_MILLIS));
         store.objects.put("no fingerprint", HeldRequestJson.write(request(NOW_MILLIS)));
         store.objects.put(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void testRequestThatWasHeldLongEnoughIsRemoved() {
+    void testRequestWithExpiredQuarantineIsRemoved() {
         requests.hold(request(NOW_MILLIS - Quarantine.HELD_MILLIS - 1));
         start();
         assertThat(listener.requests).isEmpty();
@@ -117,7 +117,7 @@
                 sinceMillis);
     }
 
-    /** A store that holds objects of one kind and fails the next writes. */
+    /** An in-memory store of one kind of objects, whose next {@code failures} writes fail. */
     private static final class InMemoryStore implements ObjectStore {
 
         private final Map<String, JsonNode> objects = new TreeMap<>();
@@ -133,19 +133,19 @@
 
         @Override
         public Promise<EntryChanges> watch(String kind, long revision, long waitMillis) {
-            return Promise.ofException(new IllegalStateException("Not watched."));
+            return Promise.ofException(new IllegalStateException("Watches are not expected."));
         }
 
         @Override
         public Promise<Void> put(String kind, String name, JsonNode value) {
-            return Promise.ofException(new IllegalStateException("Not replaced."));
+            return Promise.ofException(new IllegalStateException("Replacements are not expected."));
         }
 
         @Override
         public Promise<Void> create(String kind, String name, JsonNode value) {
             if (failures > 0) {
                 failures--;
-                return Promise.ofException(new IllegalStateException("Away."));
+                return Promise.ofException(new IllegalStateException("The store is unavailable."));
             }
             objects.putIfAbsent(name, value);
             return Promise.complete();
@@ -161,7 +161,7 @@
         public void close() {}
     }
 
-    /** What a gateway was told. */
+    /** Records the notifications of the store. */
     private static final class RecordingListener implements DirectoryListener {
 
         private Map<Fingerprint, HeldRequest> requests = Map.of();
--- a/src/test/java/org/martenwell/directory/KindPollerTest.java
+++ b/src/test/java/org/martenwell/directory/KindPollerTest.java
@@ -11,16 +11,15 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Tests following objects by lists and watches against a store that answers by script. */
+/** Tests polling of a scripted store with a manually advanced clock. */
 final class KindPollerTest {
 
-    /** Longer than a refresh is held back, in milliseconds. */
-    private static final long LATER_MILLIS = 10_000;
+    /** Exceeds the minimum time between a list and a refresh, in milliseconds. */
+    private static final long REFRESH_PERMITTED_MILLIS = 10_000;
 
-    /** A minute, in milliseconds. */
     private static final long MINUTE_MILLIS = 60_000;
 
-    /** How far the clock moves at a time, in milliseconds. */
+    /** The step by which the clock advances, in milliseconds. */
     private static final long STEP_MILLIS = 100;
 
     private final ScriptedStore store = new ScriptedStore();
@@ -33,7 +32,7 @@
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
     @Test
-    void testListOlderThanTheLastIsDropped() {
+    void testListWithLowerRevisionIsIgnored() {
         store.willReturn(7, false, "one", "two");
         store.willReturn(5, false, "one");
         KindPoller poller = startedPoller();
@@ -43,7 +42,7 @@
     }
 
     @Test
-    void testRefreshBringsWhatIsNew() {
+    void testRefreshReportsNewEntries() {
         store.willReturn(7, false, "one");
         store.willReturn(8, false, "one", "two");
         KindPoller poller = startedPoller();
@@ -53,7 +52,7 @@
     }
 
     @Test
-    void testRefreshesThatFollowEachOtherAskOnce() {
+    void testConsecutiveRefreshesMakeOneCall() {
         store.willReturn(7, false, "one");
         store.willReturn(8, false, "one", "two");
         store.willReturn(9, false, "one", "two", "three");
@@ -65,20 +64,20 @@
     }
 
     /**
-     * In a fleet of 95 gateways that listed each other every 3 s, these lists were most of all
-     * calls. Who joins is heard of by reports, so lists need not be frequent.
+     * The load that gateways put on the store by listing each other must not grow with the square
+     * of the fleet.
      */
     @Test
-    void testCallsOfALargeFleetDoNotGrowWithItsSquare() {
+    void testPollIntervalGrowsWithTheFleet() {
         assertThat(listsIn(MINUTE_MILLIS, 95)).isBetween(4, 10);
     }
 
     @Test
-    void testSmallFleetIsListedEveryThreeSeconds() {
+    void testSmallFleetIsListedAtTheMinimumInterval() {
         assertThat(listsIn(MINUTE_MILLIS, 7)).isBetween(15, 30);
     }
 
-    /** Counts the lists of a poller of some gateways in a time. */
+    /** Counts the lists that a poller makes in a period. */
     private int listsIn(long millis, int gateways) {
         String[] names = new String[gateways];
         Arrays.setAll(names, index -> "gateway-" + index);
@@ -93,7 +92,7 @@
         return store.listCount() - before;
     }
 
-    /** Starts a poller and lets the time pass until a refresh is answered. */
+    /** Starts a poller and advances the clock until a refresh is permitted. */
     private KindPoller startedPoller() {
         KindPoller poller =
                 new KindPoller(
@@ -102,7 +101,7 @@
                         entries -> notifications.add(new TreeSet<>(entries.keySet())));
         poller.start();
         loop.run();
-        nowMillis += LATER_MILLIS;
+        nowMillis += REFRESH_PERMITTED_MILLIS;
         loop.run();
         return poller;
     }
--- a/src/test/java/org/martenwell/directory/KindWatcherHarness.java
+++ b/src/test/java/org/martenwell/directory/KindWatcherHarness.java
@@ -7,29 +7,25 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A follower of a scripted store, with a clock that only the test moves. */
+/** Runs a {@link KindWatcher} on a scripted store with a manually advanced clock. */
 final class KindWatcherHarness {
 
-    /** Longer than a follower waits after its first failures, in milliseconds. */
-    private static final long RETRY_MILLIS = 100;
+    /** Exceeds the delay before the first retries, in milliseconds. */
+    private static final long RETRY_ELAPSED_MILLIS = 100;
 
-    /** In how many steps a follower has asked for all that a test lays down. */
+    /** The number of retry delays after which all scripted responses have been used. */
     private static final int STEPS = 10;
 
-    /** The store. */
     private final ScriptedStore store = new ScriptedStore();
 
-    /** The names of the entries that the follower told, each time. */
+    /** The names of the entries in each notification, in order. */
     private final List<Set<String>> notifications = new ArrayList<>();
 
-    /** The present time, in milliseconds. */
     private long nowMillis = 1;
 
-    /** The loop. */
     private final Eventloop loop =
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
-    /** The follower. */
     private final KindWatcher watcher =
             new KindWatcher(
                     new KindSource(loop, store, "kind", new Random(1)),
@@ -49,21 +45,20 @@
         return notifications.get(notifications.size() - 1);
     }
 
-    /** Follows the store. */
     void start() {
         watcher.start();
         loop.run();
     }
 
-    /** Follows the store until all that is laid down has been answered. */
+    /** Runs the watcher until all scripted responses have been used. */
     void runScript() {
         start();
         for (int step = 0; step < STEPS; step++) {
-            advance(RETRY_MILLIS);
+            advance(RETRY_ELAPSED_MILLIS);
         }
     }
 
-    /** Lets time pass; the loop ends when nothing but tasks in the background is left. */
+    /** Advances the clock and runs all tasks that are due. */
     void advance(long millis) {
         loop.post(() -> {});
         nowMillis += millis;
--- a/src/test/java/org/martenwell/directory/KindWatcherTest.java
+++ b/src/test/java/org/martenwell/directory/KindWatcherTest.java
@@ -5,19 +5,19 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Tests how a follower lists and watches. */
+/** Tests the order and the revisions of lists and watches. */
 final class KindWatcherTest {
 
-    /** The longest time between attempts, in milliseconds. */
-    private static final long LONGEST_MILLIS = 900;
+    /** The maximum time between attempts, in milliseconds. */
+    private static final long MAX_DELAY_MILLIS = 900;
 
-    /** How many attempts are looked at. */
+    /** The number of failed attempts. */
     private static final int ATTEMPTS = 100;
 
     private final KindWatcherHarness harness = new KindWatcherHarness();
 
     @Test
-    void testFollowerWatchesFromTheRevisionOfTheFirstPage() {
+    void testWatchStartsAtTheRevisionOfTheFirstPage() {
         harness.store().willReturn(7, true, "one");
         harness.store().willReturn(9, false, "two");
         harness.start();
@@ -26,12 +26,12 @@
     }
 
     @Test
-    void testStoreIsAskedAgainSoonHoweverLongItWasAway() {
+    void testRetryDelayIsLimited() {
         harness.store().willFail();
         harness.start();
         for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
             int before = harness.store().listCount();
-            harness.advance(LONGEST_MILLIS);
+            harness.advance(MAX_DELAY_MILLIS);
             assertThat(harness.store().listCount()).isGreaterThan(before);
         }
     }
--- a/src/test/java/org/martenwell/directory/RetainedEntriesTest.java
+++ b/src/test/java/org/martenwell/directory/RetainedEntriesTest.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Tests what becomes of entries that lapse while the store is away. */
+/** Tests which entries are retained after an outage of the store, and for how long. */
 final class RetainedEntriesTest {
 
-    /** Longer than lapsed entries are kept, in milliseconds. */
-    private static final long LATER_MILLIS = 10_000;
+    /** Exceeds the retention time, in milliseconds. */
+    private static final long GRACE_EXPIRED_MILLIS = 10_000;
 
     private final KindWatcherHarness harness = new KindWatcherHarness();
 
     @Test
-    void testEntriesThatLapsedWhileTheStoreWasAwayAreKeptForAWhile() {
+    void testEntriesMissingAfterAnOutageAreRetainedForAGracePeriod() {
         harness.store().willReturn(7, false, "one", "two");
         harness.store().willFail();
         harness.store().willReturn(8, false, "one");
@@ -25,25 +25,25 @@
         assertThat(harness.notifications())
                 .hasSizeGreaterThan(1)
                 .allMatch(Set.of("one", "two")::equals);
-        harness.advance(LATER_MILLIS);
+        harness.advance(GRACE_EXPIRED_MILLIS);
         assertThat(harness.lastNotification()).containsExactly("one");
     }
 
     @Test
-    void testEntriesThatAreBackStay() {
+    void testEntriesThatReturnAreReportedThroughout() {
         harness.store().willReturn(7, false, "one", "two");
         harness.store().willFail();
         harness.store().willReturn(8, false, "one");
         harness.store().willReturn(9, false, "one", "two");
         harness.runScript();
-        harness.advance(LATER_MILLIS);
+        harness.advance(GRACE_EXPIRED_MILLIS);
         assertThat(harness.notifications())
                 .hasSizeGreaterThan(1)
                 .allMatch(Set.of("one", "two")::equals);
     }
 
     @Test
-    void testEntriesThatLeftBesideABrokenWatchAreGoneAtOnce() {
+    void testEntriesMissingAfterAFailedWatchAreDroppedImmediately() {
         harness.store().willReturn(7, false, "one", "two");
         harness.store().willReturn(8, false, "one");
         harness.runScript();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void testEntriesLapseByGroup() {
+    void testEntriesAreRetainedPerGroup() {
         RetainedEntries lapsed =
                 RetainedEntries.of(
                         entries("engine-1", "engine-2", "engine-3", "plain-1", "plain-2"),
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void testEntriesKeptEndTogether() {
+    void testRetainedEntriesExpireTogether() {
         RetainedEntries lapsed =
                 RetainedEntries.of(
                         entries("one", "two", "three"), entries("one"), each -> "group", 100);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void testPresentEntryIsPreferredToTheOneThatLapsed() {
+    void testStoredEntryTakesPrecedenceOverRetainedOne() {
         RetainedEntries lapsed = RetainedEntries.of(entries("one"), Map.of(), each -> "group", 100);
         StoredEntry present = new StoredEntry("one", 9, JsonNodeFactory.instance.objectNode());
         assertThat(lapsed.mergedInto(Map.of("one", present), 1)).containsEntry("one", present);
--- a/src/test/java/org/martenwell/directory/ScriptedStore.java
+++ b/src/test/java/org/martenwell/directory/ScriptedStore.java
@@ -10,25 +10,25 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A store whose lists answer what the test has laid down, in order. */
+/** A store whose lists return scripted responses in order. Its watches always fail. */
 final class ScriptedStore implements ObjectStore {
 
-    /** What the next lists answer, empty for a failure; the last one is answered again. */
+    /** The scripted responses, empty for a failure; the last one is repeated. */
     private final Deque<Optional<EntryPage>> scriptedPages = new ArrayDeque<>();
 
-    /** The failure of the list that hangs, or {@code null} if none does. */
+    /** The pending list, or {@code null} if there is none. */
     private SettablePromise<EntryPage> hanging;
 
-    /** Whether the next list hangs. */
+    /** Set if the next list stays pending. */
     private boolean hangNext;
 
-    /** How many lists were asked for. */
+    /** The number of list calls. */
     private int listCount;
 
-    /** The revisions from which watches began. */
+    /** The revisions at which watches started. */
     private final List<Long> watchedRevisions = new ArrayList<>();
 
-    /** Lays down what the next list answers. */
+    /** Adds a response to the script. */
     void willReturn(long revision, boolean more, String... names) {
         List<StoredEntry> entries = new ArrayList<>();
         for (String each : names) {
@@ -37,19 +37,21 @@
         scriptedPages.add(Optional.of(new EntryPage(entries, more, revision)));
     }
 
-    /** Lays down that the next list fails. */
+    /** Adds a failure to the script. */
     void willFail() {
         scriptedPages.add(Optional.empty());
     }
 
-    /** Lets the next list hang until {@link #failHanging}; what is laid down comes after it. */
+    /**
+     * Leaves the next list pending until {@link #failHanging}; scripted responses resume after it.
+     */
     void willHang() {
         hangNext = true;
     }
 
-    /** Lets the list that hangs fail. */
+    /** Fails the pending list. */
     void failHanging() {
-        hanging.setException(new IllegalStateException("Took too long."));
+        hanging.setException(new IllegalStateException("The call timed out."));
     }
 
     int listCount() {
@@ -71,13 +73,16 @@
         Optional<EntryPage> page =
                 scriptedPages.size() > 1 ? scriptedPages.poll() : scriptedPages.element();
         return page.map(Promise::of)
-                .orElseGet(() -> Promise.ofException(new IllegalStateException("Away.")));
+                .orElseGet(
+                        () ->
+                                Promise.ofException(
+                                        new IllegalStateException("The store is unavailable.")));
     }
 
     @Override
     public Promise<EntryChanges> watch(String kind, long revision, long waitMillis) {
         watchedRevisions.add(revision);
-        return Promise.ofException(new IllegalStateException("No change is laid down."));
+        return Promise.ofException(new IllegalStateException("No watch is scripted."));
     }
 
     @Override
--- a/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
+++ b/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
@@ -16,13 +16,13 @@
     private final DirectoryTarget two = target("two", OptionalLong.of(6));
 
     @Test
-    void testTargetThatLacksItsStartAmongOthersThatTellTheirsIsFound() {
+    void testTargetWithoutStartAmongTargetsWithStartIsReturned() {
         assertThat(TargetsWithoutStart.of(List.of(one, withoutStart, two)))
                 .containsExactly(withoutStart);
     }
 
     @Test
-    void testNoneIsFoundWhereTargetsDoNotTell() {
+    void testNoneIsReturnedUnlessMostTargetsHaveAStart() {
         assertThat(TargetsWithoutStart.of(List.of(withoutStart))).isEmpty();
         assertThat(TargetsWithoutStart.of(List.of(withoutStart, one))).isEmpty();
         assertThat(TargetsWithoutStart.of(List.of())).isEmpty();
