--- a/src/main/java/org/martenwell/peer/ConfigurationAnswer.java
+++ b/src/main/java/org/martenwell/peer/ConfigurationAnswer.java
@@ -3,9 +3,9 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * Tells a peer the configuration in force.
+ * Response to a {@link ConfigurationRequest} with the configuration in force.
  *
- * @param version The version.
- * @param text The configuration as it is stored.
+ * @param version The configuration's version.
+ * @param text The configuration as stored, in JSON.
  */
 public record ConfigurationAnswer(long version, String text) implements PeerMessage {}
--- a/src/main/java/org/martenwell/peer/ConfigurationRequest.java
+++ b/src/main/java/org/martenwell/peer/ConfigurationRequest.java
@@ -3,9 +3,9 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * Asks a peer for its configuration.
+ * Request for the configuration of a peer.
  *
- * @param router The router that asks.
- * @param above The version that the answer must exceed.
+ * @param router The name of the requesting router.
+ * @param above The version in force at that router; only a newer one is of use.
  */
 public record ConfigurationRequest(String router, long above) implements PeerMessage {}
--- a/src/main/java/org/martenwell/peer/FieldReader.java
+++ b/src/main/java/org/martenwell/peer/FieldReader.java
@@ -11,28 +11,29 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Reads the fields that a {@link FieldWriter} wrote, over the same connection in the same order.
+ * Decodes the fields written by a {@link FieldWriter}. One reader serves one direction of a
+ * connection, because names are abbreviated by their order of appearance on it.
  */
 final class FieldReader {
 
-    /** How many parts an amount of service is told in. */
+    /** The number of encoded units in one unit of service. */
     static final double SERVICE_SCALE = 1000;
 
-    /** Reads with a strict limit on strings, so that a false length allocates nothing large. */
+    /** Limits the length of strings, so that a forged length can't cause a large allocation. */
     private static final MessagePack.UnpackerConfig UNPACKER =
             new MessagePack.UnpackerConfig().withStringSizeLimit(FrameCodec.MAX_FRAME_BYTES);
 
-    /** The names read so far. */
+    /** The names decoded so far. */
     private final NameTable names = new NameTable();
 
-    /** Gives the fields, or {@code null} between frames. */
+    /** Decodes the current payload; {@code null} before the first one. */
     private MessageUnpacker unpacker;
 
     /** Creates a reader for a new connection. */
     FieldReader() {}
 
     /**
-     * Takes in a frame's payload.
+     * Starts decoding the payload of a frame. The table of names is kept.
      *
      * @param bytes The payload.
      */
@@ -41,9 +42,9 @@
     }
 
     /**
-     * Returns whether more follows.
+     * Returns whether the payload has unread fields.
      *
-     * @return {@code true} if so.
+     * @return {@code true} if at least one field is left.
      * @throws IOException If the payload ends early.
      */
     boolean hasNext() throws IOException {
@@ -51,10 +52,11 @@
     }
 
     /**
-     * Reads a name that occurs often.
+     * Reads a name, which is either spelled out or a reference to one read before.
      *
      * @return The name.
      * @throws IOException If the payload ends early.
+     * @throws MartenwellException If the reference is unknown.
      */
     String name() throws IOException {
         if (unpacker.getNextFormat().getValueType() == ValueType.STRING) {
@@ -67,13 +69,13 @@
                 .orElseThrow(
                         () ->
                                 MartenwellException.of(
-                                        ErrorKind.BAD_FRAME, "No name has number " + number));
+                                        ErrorKind.BAD_FRAME, "Unknown name number " + number));
     }
 
     /**
-     * Reads a text that occurs seldom.
+     * Reads a string.
      *
-     * @return The text.
+     * @return The string.
      * @throws IOException If the payload ends early.
      */
     String text() throws IOException {
@@ -81,7 +83,7 @@
     }
 
     /**
-     * Reads bytes.
+     * Reads a byte string.
      *
      * @return The bytes, read-only.
      * @throws IOException If the payload ends early.
@@ -92,9 +94,9 @@
     }
 
     /**
-     * Reads a whole number.
+     * Reads an integer of up to 64 bits.
      *
-     * @return The number.
+     * @return The integer.
      * @throws IOException If the payload ends early.
      */
     long number() throws IOException {
@@ -102,9 +104,9 @@
     }
 
     /**
-     * Reads a whole number that must be small.
+     * Reads an integer of up to 32 bits.
      *
-     * @return The number.
+     * @return The integer.
      * @throws IOException If the payload ends early.
      */
     int intNumber() throws IOException {
@@ -112,9 +114,9 @@
     }
 
     /**
-     * Reads a truth value.
+     * Reads a boolean.
      *
-     * @return The value.
+     * @return The boolean.
      * @throws IOException If the payload ends early.
      */
     boolean flag() throws IOException {
@@ -124,7 +126,7 @@
     /**
      * Reads an amount of service.
      *
-     * @return The amount in units.
+     * @return The amount in units, with a precision of a thousandth.
      * @throws IOException If the payload ends early.
      */
     double service() throws IOException {
@@ -136,7 +138,7 @@
      *
      * @param item Reads one item.
      * @param <T> The type of the items.
-     * @return The list.
+     * @return The items in order.
      * @throws IOException If the payload ends early.
      */
     <T> List<T> list(ItemReader<T> item) throws IOException {
--- a/src/main/java/org/martenwell/peer/FieldWriter.java
+++ b/src/main/java/org/martenwell/peer/FieldWriter.java
@@ -6,25 +6,24 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Writes the fields of messages in MessagePack. A name is written out once over a connection and as
- * a number from then on.
+ * Encodes the fields of messages as MessagePack. One writer serves one direction of a connection: a
+ * name is spelled out when it first occurs and replaced by its number afterwards.
  */
 final class FieldWriter {
 
-    /** The names written so far. */
+    /** The names encoded so far. */
     private final NameTable names = new NameTable();
 
-    /** Receives the fields. */
     private final MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
 
     /** Creates a writer for a new connection. */
     FieldWriter() {}
 
     /**
-     * Writes a name that occurs often.
+     * Writes a name, such as a target's id, that is likely to recur on this connection.
      *
      * @param name The name.
-     * @throws IOException Never for a buffer in memory.
+     * @throws IOException Never; the buffer is in memory.
      */
     void name(String name) throws IOException {
         int number = names.number(name);
@@ -37,20 +36,20 @@
     }
 
     /**
-     * Writes a text that occurs seldom.
+     * Writes a string that is unlikely to recur.
      *
-     * @param text The text.
-     * @throws IOException Never for a buffer in memory.
+     * @param text The string.
+     * @throws IOException Never; the buffer is in memory.
      */
     void text(String text) throws IOException {
         packer.packString(text);
     }
 
     /**
-     * Writes bytes.
+     * Writes a byte string.
      *
-     * @param bytes The bytes.
-     * @throws IOException Never for a buffer in memory.
+     * @param bytes The bytes; the buffer's position stays unchanged.
+     * @throws IOException Never; the buffer is in memory.
      */
     void bytes(ByteBuffer bytes) throws IOException {
         byte[] copy = new byte[bytes.remaining()];
@@ -60,49 +59,49 @@
     }
 
     /**
-     * Writes a whole number.
+     * Writes an integer.
      *
-     * @param number The number.
-     * @throws IOException Never for a buffer in memory.
+     * @param number The integer.
+     * @throws IOException Never; the buffer is in memory.
      */
     void number(long number) throws IOException {
         packer.packLong(number);
     }
 
     /**
-     * Writes a truth value.
+     * Writes a boolean.
      *
-     * @param value The value.
-     * @throws IOException Never for a buffer in memory.
+     * @param value The boolean.
+     * @throws IOException Never; the buffer is in memory.
      */
     void flag(boolean value) throws IOException {
         packer.packBoolean(value);
     }
 
     /**
-     * Writes how many items follow.
+     * Writes the header of a list, which the caller must follow up with the items.
      *
      * @param count The number of items.
-     * @throws IOException Never for a buffer in memory.
+     * @throws IOException Never; the buffer is in memory.
      */
     void count(int count) throws IOException {
         packer.packArrayHeader(count);
     }
 
     /**
-     * Writes an amount of service, rounded to whole thousandths of a unit.
+     * Writes an amount of service, rounded to thousandths of a unit.
      *
      * @param units The amount in units.
-     * @throws IOException Never for a buffer in memory.
+     * @throws IOException Never; the buffer is in memory.
      */
     void service(double units) throws IOException {
         packer.packLong(Math.round(units * FieldReader.SERVICE_SCALE));
     }
 
     /**
-     * Takes what was written.
+     * Returns the encoded fields and clears the buffer. The table of names is kept.
      *
-     * @return The bytes.
+     * @return The encoded fields.
      */
     byte[] drain() {
         byte[] bytes = packer.toByteArray();
--- a/src/main/java/org/martenwell/peer/FrameCodec.java
+++ b/src/main/java/org/martenwell/peer/FrameCodec.java
@@ -9,41 +9,39 @@
 import org.martenwell.hash.KeyedHash;
 
 /**
- * Signs the frames of one connection in one direction. A frame is a signature and a payload; the
- * signature covers the connection's nonce, the frame's number and the payload, so that a frame can
- * neither be forged nor sent again. Signatures are by SipHash-2-4, a keyed function made for short
- * messages: a signature of 8 KB takes 42 us where HMAC-SHA-256 took 117 us, and no cryptographic
- * providers are loaded for it, which took 0.14 s of a start (mean of 20,000 signatures and median
- * of five starts, first compiler only).
+ * Signs and verifies the frames of one direction of a connection. A frame consists of a signature
+ * and a payload. The signature covers the connection's nonce, the frame's sequence number and the
+ * payload, which prevents forgery and replay. Signatures use SipHash-2-4, a keyed hash that is
+ * cheaper than HMAC-SHA-256 for short messages and needs no security provider.
  */
 final class FrameCodec {
 
-    /** The largest frame, in bytes; a configuration is at most a megabyte. */
+    /**
+     * The maximum size of a frame in bytes, which allows for a configuration of up to one megabyte.
+     */
     static final int MAX_FRAME_BYTES = 1 << 21;
 
-    /** The size of a connection's nonce, in bytes. */
+    /** The size of a connection's nonce in bytes. */
     static final int NONCE_BYTES = 16;
 
     /**
-     * The size of a signature, in bytes. A forger has one guess in 2^64 for each connection,
-     * because a wrong one costs the connection and the nonce changes with it.
+     * The size of a signature in bytes. Eight bytes suffice because a connection is closed at the
+     * first invalid signature and each connection has a new nonce.
      */
     static final int SIGNATURE_BYTES = 8;
 
-    /** Computes signatures. */
     private final HashFunction signer;
 
-    /** The connection's nonce. */
     private final byte[] nonce;
 
-    /** The next frame's number. */
-    private long number;
+    /** The sequence number of the next frame. */
+    private long sequenceNumber;
 
     /**
-     * Creates a codec.
+     * Creates a codec for a new connection.
      *
-     * @param key The key that peers share.
-     * @param nonce The connection's nonce.
+     * @param key The secret shared by all peers.
+     * @param nonce The connection's nonce, of {@link #NONCE_BYTES} bytes.
      */
     FrameCodec(String key, byte[] nonce) {
         this.signer = KeyedHash.of(key);
@@ -51,14 +49,14 @@
     }
 
     /**
-     * Signs a payload.
+     * Signs the next payload.
      *
      * @param payload The payload.
      * @return The frame.
      */
-    byte[] seal(byte[] payload) {
-        byte[] signature = sign(payload);
-        number++;
+    byte[] sign(byte[] payload) {
+        byte[] signature = computeSignature(payload);
+        sequenceNumber++;
         return ByteBuffer.allocate(SIGNATURE_BYTES + payload.length)
                 .put(signature)
                 .put(payload)
@@ -66,10 +64,12 @@
     }
 
     /**
-     * Checks a frame, or throws an exception of the kind {@link ErrorKind#BAD_FRAME}.
+     * Verifies the next frame.
      *
      * @param frame The frame.
      * @return The payload.
+     * @throws MartenwellException Of kind {@link ErrorKind#BAD_FRAME} if the frame is too short or
+     *     its signature is invalid.
      */
     byte[] verify(byte[] frame) {
         if (frame.length < SIGNATURE_BYTES) {
@@ -77,24 +77,18 @@
         }
         byte[] payload = Arrays.copyOfRange(frame, SIGNATURE_BYTES, frame.length);
         byte[] signature = Arrays.copyOf(frame, SIGNATURE_BYTES);
-        if (!MessageDigest.isEqual(signature, sign(payload))) {
+        if (!MessageDigest.isEqual(signature, computeSignature(payload))) {
             throw MartenwellException.of(ErrorKind.BAD_FRAME, "The frame is not authentic.");
         }
-        number++;
+        sequenceNumber++;
         return payload;
     }
 
-    /**
-     * Computes the signature of the next frame.
-     *
-     * @param payload The payload.
-     * @return The signature.
-     */
-    private byte[] sign(byte[] payload) {
+    private byte[] computeSignature(byte[] payload) {
         byte[] signed =
                 ByteBuffer.allocate(NONCE_BYTES + Long.BYTES + payload.length)
                         .put(nonce)
-                        .putLong(number)
+                        .putLong(sequenceNumber)
                         .put(payload)
                         .array();
         return signer.hashBytes(signed).asBytes();
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -14,18 +14,19 @@
 import org.martenwell.share.ShareCounts;
 import org.martenwell.share.ShareSums;
 
-/** The forms of messages between gateways. */
+/**
+ * Encodes and decodes messages between gateways. The order of the fields is part of the protocol.
+ */
 final class GatewayMessageCodec {
 
-    /** Not instantiated. */
     private GatewayMessageCodec() {}
 
     /**
-     * Writes a report.
+     * Encodes a report.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The report.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(GatewayReport message, FieldWriter writer) throws IOException {
         writer.name(message.gateway());
@@ -55,13 +56,6 @@
         }
     }
 
-    /**
-     * Writes what speaks against a request.
-     *
-     * @param update What is told.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
-     */
     private static void write(QuarantineWord update, FieldWriter writer) throws IOException {
         writer.number(update.fingerprint().scope());
         writer.number(update.fingerprint().content());
@@ -69,25 +63,11 @@
         writer.text(update.life());
     }
 
-    /**
-     * Reads what speaks against a request.
-     *
-     * @param reader Gives it.
-     * @return What is told.
-     * @throws IOException If it ends early.
-     */
     private static QuarantineWord readQuarantineUpdate(FieldReader reader) throws IOException {
         Fingerprint fingerprint = new Fingerprint(reader.number(), reader.number());
         return new QuarantineWord(fingerprint, WordKind.of(reader.intNumber()), reader.text());
     }
 
-    /**
-     * Writes what organisations asked and got.
-     *
-     * @param shares The counts.
-     * @param writer Receives them.
-     * @throws IOException Never for a buffer in memory.
-     */
     private static void write(ShareCounts shares, FieldWriter writer) throws IOException {
         writer.number(shares.countedMillis());
         writer.count(shares.sums().size());
@@ -100,11 +80,11 @@
     }
 
     /**
-     * Writes a batch of reports.
+     * Encodes a batch of reports.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The batch.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(ReportBatch message, FieldWriter writer) throws IOException {
         writer.name(message.relay());
@@ -113,22 +93,22 @@
     }
 
     /**
-     * Reads a batch of reports.
+     * Decodes a batch of reports.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The batch.
+     * @throws IOException If the payload ends early.
      */
     static ReportBatch readBatch(FieldReader reader) throws IOException {
         return new ReportBatch(reader.name(), reader.flag(), reader.bytes());
     }
 
     /**
-     * Reads a report.
+     * Decodes a report.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The report.
+     * @throws IOException If the payload ends early.
      */
     static GatewayReport readReport(FieldReader reader) throws IOException {
         return new GatewayReport(
@@ -142,24 +122,10 @@
                 reader.list(GatewayMessageCodec::readQuarantineUpdate));
     }
 
-    /**
-     * Reads what requests put on a target.
-     *
-     * @param reader Gives it.
-     * @return The sums.
-     * @throws IOException If they end early.
-     */
     private static LoadSums readSums(FieldReader reader) throws IOException {
         return new LoadSums(reader.intNumber(), reader.number(), reader.number());
     }
 
-    /**
-     * Reads what organisations asked and got.
-     *
-     * @param reader Gives it.
-     * @return The counts.
-     * @throws IOException If they end early.
-     */
     private static ShareCounts readShares(FieldReader reader) throws IOException {
         long countedMillis = reader.number();
         Map<String, ShareSums> sums = new HashMap<>();
@@ -170,13 +136,6 @@
         return new ShareCounts(countedMillis, sums);
     }
 
-    /**
-     * Reads what one organisation asked and got.
-     *
-     * @param reader Gives it.
-     * @return The organisation's name and its sums.
-     * @throws IOException If they end early.
-     */
     private static Map.Entry<String, ShareSums> readSharesEntry(FieldReader reader)
             throws IOException {
         return Map.entry(
--- a/src/main/java/org/martenwell/peer/ItemReader.java
+++ b/src/main/java/org/martenwell/peer/ItemReader.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * Reads one item of a list.
+ * Decodes one item of a list.
  *
  * @param <T> The type of the item.
  */
@@ -11,9 +11,9 @@
 interface ItemReader<T> {
 
     /**
-     * Reads one item.
+     * Decodes one item.
      *
-     * @param reader Gives its fields.
+     * @param reader Provides the item's fields.
      * @return The item.
      * @throws IOException If the payload ends early.
      */
--- a/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
@@ -3,18 +3,20 @@
 import java.io.IOException;
 import org.martenwell.member.Heartbeat;
 
-/** The forms of messages about membership and configuration. */
+/**
+ * Encodes and decodes messages about membership, configuration and targets. The order of the fields
+ * is part of the protocol.
+ */
 final class MembershipMessageCodec {
 
-    /** Not instantiated. */
     private MembershipMessageCodec() {}
 
     /**
-     * Writes a heartbeat.
+     * Encodes a heartbeat.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The heartbeat.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(Heartbeat message, FieldWriter writer) throws IOException {
         writer.name(message.router());
@@ -27,11 +29,11 @@
     }
 
     /**
-     * Reads a heartbeat.
+     * Decodes a heartbeat.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The heartbeat.
+     * @throws IOException If the payload ends early.
      */
     static Heartbeat readHeartbeat(FieldReader reader) throws IOException {
         return new Heartbeat(
@@ -45,11 +47,11 @@
     }
 
     /**
-     * Writes a request for a configuration.
+     * Encodes a request for a configuration.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The request.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(ConfigurationRequest message, FieldWriter writer) throws IOException {
         writer.name(message.router());
@@ -57,22 +59,22 @@
     }
 
     /**
-     * Reads a request for a configuration.
+     * Decodes a request for a configuration.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The request.
+     * @throws IOException If the payload ends early.
      */
     static ConfigurationRequest readConfigurationRequest(FieldReader reader) throws IOException {
         return new ConfigurationRequest(reader.name(), reader.number());
     }
 
     /**
-     * Writes a configuration.
+     * Encodes a response with a configuration.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The response.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(ConfigurationAnswer message, FieldWriter writer) throws IOException {
         writer.number(message.version());
@@ -80,22 +82,22 @@
     }
 
     /**
-     * Reads a configuration.
+     * Decodes a response with a configuration.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The response.
+     * @throws IOException If the payload ends early.
      */
-    static ConfigurationAnswer readConfigurationAnswer(FieldReader reader) throws IOException {
+    static ConfigurationAnswer readConfigurationResponse(FieldReader reader) throws IOException {
         return new ConfigurationAnswer(reader.number(), reader.text());
     }
 
     /**
-     * Writes a notice of a target.
+     * Encodes a notice about a target.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The notice.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(TargetNotice message, FieldWriter writer) throws IOException {
         writer.name(message.target());
@@ -103,11 +105,11 @@
     }
 
     /**
-     * Reads a notice of a target.
+     * Decodes a notice about a target.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The notice.
+     * @throws IOException If the payload ends early.
      */
     static TargetNotice readTargetNotice(FieldReader reader) throws IOException {
         return new TargetNotice(reader.name(), reader.flag());
--- a/src/main/java/org/martenwell/peer/MessageReader.java
+++ b/src/main/java/org/martenwell/peer/MessageReader.java
@@ -8,21 +8,23 @@
 import org.martenwell.message.PeerMessage;
 import org.msgpack.core.MessagePackException;
 
-/** Reads the messages that a {@link MessageWriter} wrote, in the same order. */
+/**
+ * Decodes messages written by a {@link MessageWriter}. One reader serves one direction of a
+ * connection and must be given all payloads in order.
+ */
 public final class MessageReader {
 
-    /** Reads fields. */
     private final FieldReader fields = new FieldReader();
 
     /** Creates a reader for a new connection. */
     public MessageReader() {}
 
     /**
-     * Reads messages that follow each other, or throws an exception of the kind {@link
-     * ErrorKind#BAD_FRAME}.
+     * Decodes the messages of one payload.
      *
-     * @param payload Their forms.
-     * @return The messages.
+     * @param payload The encoded messages, without separators.
+     * @return The messages in order.
+     * @throws MartenwellException Of kind {@link ErrorKind#BAD_FRAME} if the payload is malformed.
      */
     public List<PeerMessage> read(byte[] payload) {
         List<PeerMessage> messages = new ArrayList<>();
@@ -38,19 +40,13 @@
         }
     }
 
-    /**
-     * Reads the next message.
-     *
-     * @return The message.
-     * @throws IOException If the payload ends early.
-     */
     private PeerMessage readNext() throws IOException {
         int number = fields.intNumber();
         return MessageType.of(number)
                 .orElseThrow(
                         () ->
                                 MartenwellException.of(
-                                        ErrorKind.BAD_FRAME, "Unknown message " + number))
+                                        ErrorKind.BAD_FRAME, "Unknown message type " + number))
                 .read(fields);
     }
 }
--- a/src/main/java/org/martenwell/peer/MessageType.java
+++ b/src/main/java/org/martenwell/peer/MessageType.java
@@ -11,10 +11,13 @@
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 
-/** The kinds of messages between routers, each with its form in MessagePack. */
+/**
+ * Type of a message between routers, with its encoding. The names of the constants appear in
+ * metrics, and their numbers are part of the protocol.
+ */
 enum MessageType {
 
-    /** A {@link Heartbeat}. */
+    /** State of a router in the membership, sent periodically. */
     HEARTBEAT(1, Heartbeat.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -27,7 +30,7 @@
         }
     },
 
-    /** A {@link ServiceReport}. */
+    /** Service that organisations received through a router. */
     SERVICE_REPORT(2, ServiceReport.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -40,7 +43,7 @@
         }
     },
 
-    /** A {@link SlotReport}. */
+    /** Demand of a router for slots, and the slots it holds. */
     SLOT_REPORT(3, SlotReport.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -53,7 +56,7 @@
         }
     },
 
-    /** A {@link SlotGrants}. */
+    /** Slots that a coordinator grants to a router. */
     SLOT_GRANTS(4, SlotGrants.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -66,7 +69,7 @@
         }
     },
 
-    /** A {@link ConfigurationRequest}. */
+    /** Request for a peer's configuration. */
     CONFIGURATION_REQUEST(5, ConfigurationRequest.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -79,7 +82,7 @@
         }
     },
 
-    /** A {@link ConfigurationAnswer}. */
+    /** Response with a configuration. */
     CONFIGURATION_ANSWER(6, ConfigurationAnswer.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -88,11 +91,11 @@
 
         @Override
         PeerMessage read(FieldReader reader) throws IOException {
-            return MembershipMessageCodec.readConfigurationAnswer(reader);
+            return MembershipMessageCodec.readConfigurationResponse(reader);
         }
     },
 
-    /** A {@link TargetNotice}. */
+    /** Notice that a target started or stopped accepting requests. */
     TARGET_NOTICE(7, TargetNotice.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -105,7 +108,7 @@
         }
     },
 
-    /** A {@link GatewayReport}. */
+    /** Load and state of a gateway. */
     GATEWAY_REPORT(8, GatewayReport.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -118,7 +121,7 @@
         }
     },
 
-    /** The reports of some gateways. */
+    /** Reports of several gateways, collected by a relay. */
     REPORT_BATCH(9, ReportBatch.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
@@ -131,46 +134,37 @@
         }
     };
 
-    /** The number that stands first in a message. */
     private final int number;
 
-    /** The type of the messages. */
     private final Class<? extends PeerMessage> type;
 
     /**
-     * Creates a kind.
+     * Creates a type.
      *
-     * @param number The number that stands first in a message.
-     * @param type The type of the messages.
+     * @param number The number that identifies the type in the protocol.
+     * @param type The class of the messages.
      */
     MessageType(int number, Class<? extends PeerMessage> type) {
         this.number = number;
         this.type = type;
     }
 
-    /**
-     * Returns the number that stands first in a message.
-     *
-     * @return The number.
-     */
+    /** {@return the number that identifies the type in the protocol} */
     int number() {
         return number;
     }
 
-    /**
-     * Returns the word used in metrics.
-     *
-     * @return The constant's name in lower case.
-     */
+    /** {@return the label of the type in metrics, which is the constant's name in lower case} */
     String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /**
-     * Finds the kind of a message.
+     * Returns the type of a message.
      *
      * @param message The message.
-     * @return The kind.
+     * @return The type.
+     * @throws IllegalArgumentException If the message's class has no type.
      */
     static MessageType of(PeerMessage message) {
         for (MessageType each : values()) {
@@ -178,14 +172,14 @@
                 return each;
             }
         }
-        throw new IllegalArgumentException("No form for " + message.getClass());
+        throw new IllegalArgumentException("No message type for " + message.getClass());
     }
 
     /**
-     * Finds the kind with a number.
+     * Returns the type with a number.
      *
      * @param number The number.
-     * @return The kind or empty if the number is unknown.
+     * @return The type, or empty if the number is unknown.
      */
     static Optional<MessageType> of(int number) {
         for (MessageType each : values()) {
@@ -197,20 +191,20 @@
     }
 
     /**
-     * Writes a message of this kind.
+     * Encodes a message.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The message, which must be of this type.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     abstract void write(PeerMessage message, FieldWriter writer) throws IOException;
 
     /**
-     * Reads a message of this kind.
+     * Decodes a message of this type.
      *
-     * @param reader Gives it.
+     * @param reader Provides the fields.
      * @return The message.
-     * @throws IOException If it ends early.
+     * @throws IOException If the payload ends early.
      */
     abstract PeerMessage read(FieldReader reader) throws IOException;
 }
--- a/src/main/java/org/martenwell/peer/MessageWriter.java
+++ b/src/main/java/org/martenwell/peer/MessageWriter.java
@@ -5,20 +5,20 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.message.PeerMessage;
 
-/** Writes the messages of one direction of a connection. */
+/** Encodes the messages of one direction of a connection. */
 public final class MessageWriter {
 
-    /** Writes fields. */
     private final FieldWriter fields = new FieldWriter();
 
     /** Creates a writer for a new connection. */
     public MessageWriter() {}
 
     /**
-     * Writes a message.
+     * Encodes a message. The receiver must decode all messages of a writer in order, because names
+     * are abbreviated.
      *
      * @param message The message.
-     * @return Its form.
+     * @return The encoded message.
      */
     public byte[] write(PeerMessage message) {
         MessageType type = MessageType.of(message);
@@ -27,7 +27,8 @@
             type.write(message, fields);
             return fields.drain();
         } catch (IOException exception) {
-            throw MartenwellException.of(ErrorKind.INTERNAL, "No form.", exception);
+            throw MartenwellException.of(
+                    ErrorKind.INTERNAL, "The message can't be encoded.", exception);
         }
     }
 }
--- a/src/main/java/org/martenwell/peer/NameTable.java
+++ b/src/main/java/org/martenwell/peer/NameTable.java
@@ -6,13 +6,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The names that one direction of a connection has carried, numbered in the order they came. */
+/**
+ * Names that occurred on one direction of a connection, numbered in order of their first
+ * occurrence. The sender and the receiver build the same table.
+ */
 final class NameTable {
 
-    /** The most names that are numbered; others are written out each time. */
+    /**
+     * The maximum number of numbered names, which limits memory; further names are always spelled
+     * out.
+     */
     private static final int MAX_NAMES = 16_384;
 
-    /** The longest name that is numbered, in characters. */
+    /** The maximum length of a numbered name in characters. */
     private static final int MAX_NAME_LENGTH = 128;
 
     /** The names by number. */
@@ -25,7 +31,7 @@
     NameTable() {}
 
     /**
-     * Numbers a name, if it may be.
+     * Assigns the next number to a name, unless it has one, is too long or the table is full.
      *
      * @param name The name.
      */
@@ -38,20 +44,20 @@
     }
 
     /**
-     * Finds the number of a name.
+     * Returns the number of a name.
      *
      * @param name The name.
-     * @return The number, negative if it has none.
+     * @return The number, or -1 if the name has none.
      */
     int number(String name) {
         return numbers.getOrDefault(name, -1);
     }
 
     /**
-     * Finds the name with a number.
+     * Returns the name with a number.
      *
      * @param number The number.
-     * @return The name.
+     * @return The name, or empty if no name has the number.
      */
     Optional<String> name(int number) {
         boolean known = number >= 0 && number < names.size();
--- a/src/main/java/org/martenwell/peer/PeerConnection.java
+++ b/src/main/java/org/martenwell/peer/PeerConnection.java
@@ -17,93 +17,92 @@
 import org.martenwell.service.IpAddress;
 
 /**
- * The connection to one peer. It is opened again whenever it breaks or nothing arrives on it, with
- * growing, jittered delay.
+ * Outgoing connection to one peer. Reconnects with exponential backoff and jitter whenever the
+ * connection fails or no keep-alive arrives in time.
  */
 final class PeerConnection {
 
     /**
-     * How long a connection may take to open, in milliseconds. A lost packet is sent again after 1
-     * s, so a new attempt is faster than waiting for longer than a few round trips.
+     * The timeout for connecting, in milliseconds. It is shorter than the retransmission timeout of
+     * TCP, which is about 1 s, so a new attempt is faster than waiting for a lost packet.
      */
     private static final long CONNECT_TIMEOUT_MILLIS = 400;
 
     /**
-     * How long nothing may arrive, in milliseconds: four pulses of the peer's server in a row may
-     * be lost. Writes tell nothing, since the system takes them while the other side is silent.
+     * The maximum time between received bytes, in milliseconds, which allows for four missing
+     * keep-alives. Writes don't detect an unresponsive peer, because the operating system buffers
+     * them.
      */
     private static final long READ_TIMEOUT_MILLIS = 5 * PeerServer.KEEP_ALIVE_MILLIS;
 
-    /** The first delay before another attempt, in milliseconds. */
+    /** The first delay before a reconnect, in milliseconds. */
     private static final long INITIAL_DELAY_MILLIS = 50;
 
     /**
-     * The longest mean delay before another attempt, in milliseconds, so that peers hear of each
-     * other within 2 s behind a cut.
+     * The maximum mean delay before a reconnect, in milliseconds. It lets peers communicate again
+     * within 2 s after a network partition ends.
      */
     private static final long MAX_DELAY_MILLIS = 1_000;
 
-    /** The most bytes that wait to be sent; a peer that takes none loses its connection. */
+    /**
+     * The maximum number of buffered bytes; the connection to a peer that doesn't read fast enough
+     * is closed.
+     */
     private static final int MAX_PENDING_BYTES = 4 << 20;
 
-    /** The largest size of a frame's length field, in bytes. */
+    /** The maximum size of a frame's length prefix in bytes. */
     private static final int MAX_LENGTH_BYTES = 5;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The peer's name. */
     private final String name;
 
-    /** The peer's address. */
     private final String address;
 
-    /** The key that peers share. */
+    /** The secret shared by all peers. */
     private final String key;
 
-    /** Spreads attempts to connect. */
+    /** The source of jitter. */
     private final Random random;
 
-    /** Counts traffic. */
     private final PeerTraffic traffic;
 
-    /** Is told when the connection opens. */
     private final PeerListener listener;
 
-    /** What waits to be sent. */
+    /** Encoded messages that have not been framed yet. */
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
 
-    /** The connection or {@code null} if there is none. */
+    /** The open connection, or {@code null} if there is none. */
     private TcpSocket socket;
 
-    /** Writes messages, or {@code null} if there is no connection. */
+    /** Encodes messages; valid while {@link #codec} is set. */
     private MessageWriter messageWriter;
 
-    /** Signs frames, or {@code null} if there is no connection. */
+    /** Signs frames; {@code null} until the peer has sent the nonce of an open connection. */
     private FrameCodec codec;
 
-    /** {@code true} while a write is due in the loop. */
+    /** Set while a flush is queued in the event loop. */
     private boolean flushScheduled;
 
-    /** {@code true} while bytes are being written. */
+    /** Set while a frame is being written. */
     private boolean writing;
 
-    /** {@code true} once closed for good. */
+    /** Set once closed by {@link #close}, so that it doesn't reconnect. */
     private boolean closed;
 
-    /** The delay before the next attempt, in milliseconds. */
+    /** The mean delay before the next reconnect, in milliseconds. */
     private long delayMillis = INITIAL_DELAY_MILLIS;
 
     /**
      * Creates a connection that is not open.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      * @param name The peer's name.
      * @param address The peer's address.
-     * @param key The key that peers share.
-     * @param random Spreads attempts to connect.
+     * @param key The secret shared by all peers.
+     * @param random The source of jitter.
      * @param traffic Counts traffic.
-     * @param listener Is told when the connection opens.
+     * @param listener Receives notice of each established connection.
      */
     PeerConnection(
             NioReactor reactor,
@@ -122,16 +121,12 @@
         this.listener = listener;
     }
 
-    /**
-     * Returns the peer's address.
-     *
-     * @return The address.
-     */
+    /** {@return the peer's address} */
     String address() {
         return address;
     }
 
-    /** Opens the connection. */
+    /** Connects, and reconnects after a failure until {@link #close} is called. */
     void open() {
         TcpSocket.connect(
                         reactor,
@@ -142,18 +137,13 @@
                 .whenException(exception -> retryLater());
     }
 
-    /**
-     * Returns the settings of sockets.
-     *
-     * @return The settings.
-     */
     private static SocketSettings settings() {
         return SocketSettings.builder()
                 .withImplReadTimeout(Duration.ofMillis(READ_TIMEOUT_MILLIS))
                 .build();
     }
 
-    /** Closes the connection for good. */
+    /** Closes the connection and stops reconnecting. */
     void close() {
         closed = true;
         if (socket != null) {
@@ -162,7 +152,7 @@
     }
 
     /**
-     * Sends a message, or drops it if there is no connection.
+     * Queues a message. It is dropped if the connection is not established.
      *
      * @param message The message.
      */
@@ -174,9 +164,9 @@
             socket.close();
             return;
         }
-        byte[] form = messageWriter.write(message);
-        pending.writeBytes(form);
-        traffic.messageSent(MessageType.of(message), form.length);
+        byte[] encoded = messageWriter.write(message);
+        pending.writeBytes(encoded);
+        traffic.messageSent(MessageType.of(message), encoded.length);
         if (!flushScheduled) {
             flushScheduled = true;
             reactor.postLast(this::flush);
@@ -184,9 +174,9 @@
     }
 
     /**
-     * Takes the opened connection and waits for its nonce.
+     * Waits for the nonce, then reads keep-alives until the connection ends.
      *
-     * @param opened The connection.
+     * @param opened The open connection.
      */
     private void onConnected(TcpSocket opened) {
         if (closed) {
@@ -204,7 +194,7 @@
     }
 
     /**
-     * Returns what takes the pulses of a peer's server. That they arrive is all that they tell.
+     * Returns a consumer that discards keep-alives, which serve only to reset the read timeout.
      *
      * @return The consumer.
      */
@@ -212,12 +202,6 @@
         return ChannelConsumers.ofConsumer(ByteBuf::recycle);
     }
 
-    /**
-     * Starts sending.
-     *
-     * @param opened The connection.
-     * @param nonce Its nonce.
-     */
     private void onNonceReceived(TcpSocket opened, byte[] nonce) {
         socket = opened;
         codec = new FrameCodec(key, nonce);
@@ -227,9 +211,9 @@
     }
 
     /**
-     * Drops a broken connection.
+     * Discards a failed connection with its buffered messages and schedules a reconnect.
      *
-     * @param broken The connection.
+     * @param broken The failed connection.
      */
     private void onDisconnected(TcpSocket broken) {
         broken.close();
@@ -240,7 +224,6 @@
         retryLater();
     }
 
-    /** Opens the connection again after a delay. */
     private void retryLater() {
         if (!closed) {
             long jittered = delayMillis / 2 + random.nextLong(delayMillis);
@@ -250,20 +233,21 @@
     }
 
     /**
-     * Writes what waits once the loop has done what was due, so that one frame carries all of it.
+     * Runs after all other tasks of an iteration of the event loop, so that one frame carries all
+     * messages sent in it.
      */
     private void flush() {
         flushScheduled = false;
         write();
     }
 
-    /** Writes what waits, in one frame, if nothing is being written. */
+    /** Writes all buffered messages in one frame, unless a frame is already being written. */
     private void write() {
         if (writing || codec == null || pending.size() == 0) {
             return;
         }
         TcpSocket current = socket;
-        byte[] frame = codec.seal(pending.toByteArray());
+        byte[] frame = codec.sign(pending.toByteArray());
         pending.reset();
         ByteBuf buffer = ByteBufPool.allocate(frame.length + MAX_LENGTH_BYTES);
         buffer.writeVarInt(frame.length);
--- a/src/main/java/org/martenwell/peer/PeerListener.java
+++ b/src/main/java/org/martenwell/peer/PeerListener.java
@@ -2,18 +2,19 @@
 
 import org.martenwell.message.PeerMessage;
 
-/** Is told of what arrives from peers. */
+/** Receives messages and connection events of a {@link PeerNetwork}. */
 public interface PeerListener {
 
     /**
-     * Called for each message.
+     * Called for each message received.
      *
      * @param message The message.
      */
     void received(PeerMessage message);
 
     /**
-     * Called when a connection to a peer opened, before anything is sent over it.
+     * Called when an outgoing connection to a peer is established, before any message is sent over
+     * it.
      *
      * @param peer The peer's name.
      */
--- a/src/main/java/org/martenwell/peer/PeerNetwork.java
+++ b/src/main/java/org/martenwell/peer/PeerNetwork.java
@@ -10,40 +10,35 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * The connections of one router with its peers. Each router opens one connection to each peer and
- * only sends over it; it receives over those that peers open.
+ * Connections between one router and its peers. Each router opens one connection to every peer,
+ * over which it only sends messages; it receives messages over the connections that peers open to
+ * it.
  */
 public final class PeerNetwork implements ManagedService {
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The key that peers share. */
     private final String key;
 
-    /** Takes connections. */
     private final PeerServer server;
 
-    /** Is told of what arrives. */
     private final PeerListener listener;
 
-    /** Spreads attempts to connect. */
     private final Random random;
 
-    /** Counts traffic. */
     private final PeerTraffic traffic = new PeerTraffic();
 
-    /** The connections to peers, by name. */
+    /** The outgoing connections by the peer's name. */
     private final Map<String, PeerConnection> connections = new HashMap<>();
 
     /**
      * Creates a network without peers.
      *
-     * @param reactor The loop.
-     * @param address Where to take connections.
-     * @param key The key that peers share.
-     * @param random Spreads attempts to connect.
-     * @param listener Is told of what arrives.
+     * @param reactor The event loop.
+     * @param address The address to listen on.
+     * @param key The secret shared by all peers.
+     * @param random The source of jitter.
+     * @param listener Receives messages and connection events.
      */
     public PeerNetwork(
             NioReactor reactor, String address, String key, Random random, PeerListener listener) {
@@ -67,7 +62,8 @@
     }
 
     /**
-     * Changes the peers. Connections to others are closed.
+     * Replaces the set of peers. Connections to removed peers and to changed addresses are closed;
+     * missing ones are opened.
      *
      * @param addresses The peers' addresses by name.
      */
@@ -84,11 +80,11 @@
     }
 
     /**
-     * Sends a message to a peer. It is dropped if there is no connection.
+     * Sends a message to a peer. It is dropped if the connection is not established.
      *
      * @param peer The peer's name.
      * @param message The message.
-     * @return {@code false} if this is none of the present peers.
+     * @return {@code false} if there is no peer of that name.
      */
     public boolean send(String peer, PeerMessage message) {
         PeerConnection connection = connections.get(peer);
@@ -99,7 +95,7 @@
     }
 
     /**
-     * Sends a message to all peers.
+     * Sends a message to all peers with an established connection.
      *
      * @param message The message.
      */
@@ -107,22 +103,11 @@
         connections.values().forEach(connection -> connection.send(message));
     }
 
-    /**
-     * Returns the counters of traffic.
-     *
-     * @return The counters.
-     */
+    /** {@return the traffic counters of all connections} */
     public PeerTraffic traffic() {
         return traffic;
     }
 
-    /**
-     * Opens a connection.
-     *
-     * @param name The peer's name.
-     * @param address The peer's address.
-     * @return The connection.
-     */
     private PeerConnection open(String name, String address) {
         PeerConnection connection =
                 new PeerConnection(reactor, name, address, key, random, traffic, listener);
--- a/src/main/java/org/martenwell/peer/PeerServer.java
+++ b/src/main/java/org/martenwell/peer/PeerServer.java
@@ -22,53 +22,47 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Takes connections from peers. A frame that can't be accepted costs its sender the connection. As
- * peers only send, the server sends them pulses, by which they notice a connection that went
- * silent.
+ * Accepts connections from peers and receives messages over them. A connection with an invalid
+ * frame is closed. The server sends keep-alives over each connection, so that peers, which
+ * otherwise only send, can detect a dead connection.
  */
 final class PeerServer implements ManagedService {
 
-    /** How often a pulse is sent over each connection, in milliseconds. */
+    /** The interval between keep-alives in milliseconds. */
     static final long KEEP_ALIVE_MILLIS = 500;
 
-    /** What a pulse holds; it has no meaning. */
+    /** The content of a keep-alive, which receivers ignore. */
     private static final byte[] KEEP_ALIVE = {0};
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(PeerServer.class);
 
-    /** Makes nonces, which must not be guessed. */
+    /** The source of nonces, which must be unpredictable. */
     private static final SecureRandom NONCE_SOURCE = new SecureRandom();
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The server. */
     private final SimpleServer server;
 
-    /** The key that peers share. */
+    /** The secret shared by all peers. */
     private final String key;
 
-    /** Counts traffic. */
     private final PeerTraffic traffic;
 
-    /** Is told of messages. */
     private final PeerListener listener;
 
     /** The open connections. */
     private final Set<ITcpSocket> sockets = new HashSet<>();
 
-    /** Whether the server stopped. */
     private boolean stopped;
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server that doesn't listen yet.
      *
-     * @param reactor The loop.
-     * @param address Where to listen.
-     * @param key The key that peers share.
+     * @param reactor The event loop.
+     * @param address The address to listen on.
+     * @param key The secret shared by all peers.
      * @param traffic Counts traffic.
-     * @param listener Is told of messages.
+     * @param listener Receives messages.
      */
     PeerServer(
             NioReactor reactor,
@@ -97,7 +91,8 @@
     }
 
     /**
-     * Sends a pulse over each connection, again and again. A connection that breaks ends itself.
+     * Sends a keep-alive over each connection. A failed write needs no handling, since reading from
+     * the broken connection fails as well.
      */
     private void sendKeepAlives() {
         if (stopped) {
@@ -107,13 +102,12 @@
         scheduleKeepAlives();
     }
 
-    /** Sends the next pulse after a while. */
     private void scheduleKeepAlives() {
         reactor.delayBackground(KEEP_ALIVE_MILLIS, this::sendKeepAlives);
     }
 
     /**
-     * Serves one connection.
+     * Sends the nonce, then reads frames until the connection ends.
      *
      * @param socket The connection.
      */
@@ -136,8 +130,8 @@
      * Reads frames until the connection ends.
      *
      * @param socket The connection.
-     * @param codec Checks frames.
-     * @return Completes when the connection ends.
+     * @param codec Verifies the frames.
+     * @return A promise that completes when the connection ends.
      */
     private Promise<Void> read(ITcpSocket socket, FrameCodec codec) {
         MessageReader messages = new MessageReader();
@@ -149,22 +143,15 @@
                                 frame -> receive(codec, messages, frame.asArray())));
     }
 
-    /**
-     * Takes in one frame.
-     *
-     * @param codec Checks frames.
-     * @param messages Reads messages.
-     * @param frame The frame.
-     */
     private void receive(FrameCodec codec, MessageReader messages, byte[] frame) {
         traffic.frameReceived(frame.length);
         messages.read(codec.verify(frame)).forEach(listener::received);
     }
 
     /**
-     * Notes why a connection ends.
+     * Counts and logs an invalid frame. Other failures of a connection are expected and ignored.
      *
-     * @param exception The failure.
+     * @param exception The cause.
      */
     private void recordFailure(Exception exception) {
         if (exception instanceof MartenwellException failure
--- a/src/main/java/org/martenwell/peer/PeerTraffic.java
+++ b/src/main/java/org/martenwell/peer/PeerTraffic.java
@@ -3,41 +3,37 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts what is sent to peers and received from them. */
+/** Counters of messages sent to peers and frames received from them. */
 public final class PeerTraffic {
 
-    /** The bytes of messages sent, by kind of message. */
+    /** The bytes of messages sent, by the metric label of their type. */
     private final Map<String, Long> bytesByKind = new TreeMap<>();
 
-    /** The bytes sent. */
     private long bytesSent;
 
-    /** The messages sent. */
     private long messagesSent;
 
-    /** The bytes received. */
     private long bytesReceived;
 
-    /** The frames that were not accepted. */
     private long badFrames;
 
     /** Creates counters at zero. */
     public PeerTraffic() {}
 
     /**
-     * Counts what a frame adds to its messages.
+     * Counts the overhead of a sent frame.
      *
-     * @param bytes The size of its length and signature.
+     * @param bytes The size of the length prefix and the signature.
      */
     void frameOverheadSent(int bytes) {
         bytesSent += bytes;
     }
 
     /**
-     * Counts a message sent.
+     * Counts a sent message.
      *
-     * @param type Its kind.
-     * @param bytes Its size.
+     * @param type The type of the message.
+     * @param bytes The size of the encoded message.
      */
     void messageSent(MessageType type, int bytes) {
         bytesSent += bytes;
@@ -46,60 +42,44 @@
     }
 
     /**
-     * Returns the bytes of messages sent, without what frames add.
+     * Returns the bytes of messages sent, without the overhead of frames.
      *
-     * @return The numbers since the start, by kind of message.
+     * @return The totals since the start by the metric label of the type.
      */
     public Map<String, Long> bytesByKind() {
         return new TreeMap<>(bytesByKind);
     }
 
     /**
-     * Counts a frame received.
+     * Counts a received frame.
      *
-     * @param bytes Its size.
+     * @param bytes The size of the frame, including the signature.
      */
     void frameReceived(int bytes) {
         bytesReceived += bytes;
     }
 
-    /** Counts a frame that was not accepted. */
+    /** Counts a frame that was rejected as invalid. */
     void frameRejected() {
         badFrames++;
     }
 
-    /**
-     * Returns the bytes sent.
-     *
-     * @return The number since the start.
-     */
+    /** {@return the total bytes sent, including the overhead of frames} */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /**
-     * Returns the messages sent.
-     *
-     * @return The number since the start.
-     */
+    /** {@return the total number of messages sent} */
     public long messagesSent() {
         return messagesSent;
     }
 
-    /**
-     * Returns the bytes received.
-     *
-     * @return The number since the start.
-     */
+    /** {@return the total bytes of frames received} */
     public long bytesReceived() {
         return bytesReceived;
     }
 
-    /**
-     * Returns the frames that were not accepted.
-     *
-     * @return The number since the start.
-     */
+    /** {@return the total number of frames rejected as invalid} */
     public long badFrames() {
         return badFrames;
     }
--- a/src/main/java/org/martenwell/peer/ReportBatches.java
+++ b/src/main/java/org/martenwell/peer/ReportBatches.java
@@ -9,38 +9,41 @@
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.message.PeerMessage;
 
-/** Makes and reads batches of reports. A batch names its names itself, so any peer can read it. */
+/**
+ * Creates and decodes batches of reports. Each batch has its own table of names, so it can be
+ * forwarded to any peer unchanged.
+ */
 public final class ReportBatches {
 
-    /** Not instantiated. */
     private ReportBatches() {}
 
     /**
-     * Makes a batch.
+     * Creates a batch.
      *
-     * @param relay The name of the gateway that gathered the reports.
+     * @param relay The name of the gateway that collected the reports.
      * @param reports The reports.
-     * @return The batch.
+     * @return The batch, not marked as forwarded.
      */
     public static ReportBatch of(String relay, Collection<GatewayReport> reports) {
         MessageWriter writer = new MessageWriter();
-        ByteArrayOutputStream form = new ByteArrayOutputStream();
-        reports.forEach(each -> form.writeBytes(writer.write(each)));
+        ByteArrayOutputStream encoded = new ByteArrayOutputStream();
+        reports.forEach(each -> encoded.writeBytes(writer.write(each)));
         return new ReportBatch(
-                relay, false, ByteBuffer.wrap(form.toByteArray()).asReadOnlyBuffer());
+                relay, false, ByteBuffer.wrap(encoded.toByteArray()).asReadOnlyBuffer());
     }
 
     /**
-     * Reads a batch.
+     * Decodes a batch.
      *
      * @param batch The batch.
-     * @return Its reports.
+     * @return The reports; other messages in the batch are ignored.
+     * @throws org.martenwell.error.MartenwellException If the batch is malformed.
      */
     public static List<GatewayReport> reports(ReportBatch batch) {
-        byte[] form = new byte[batch.form().remaining()];
-        batch.form().duplicate().get(form);
+        byte[] encoded = new byte[batch.form().remaining()];
+        batch.form().duplicate().get(encoded);
         List<GatewayReport> reports = new ArrayList<>();
-        for (PeerMessage each : new MessageReader().read(form)) {
+        for (PeerMessage each : new MessageReader().read(encoded)) {
             if (each instanceof GatewayReport report) {
                 reports.add(report);
             }
--- a/src/main/java/org/martenwell/peer/ScheduleMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/ScheduleMessageCodec.java
@@ -13,18 +13,19 @@
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 
-/** The forms of messages about scheduling. */
+/**
+ * Encodes and decodes messages about scheduling. The order of the fields is part of the protocol.
+ */
 final class ScheduleMessageCodec {
 
-    /** Not instantiated. */
     private ScheduleMessageCodec() {}
 
     /**
-     * Writes a service report.
+     * Encodes a service report.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The report.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(ServiceReport message, FieldWriter writer) throws IOException {
         writer.name(message.router());
@@ -41,11 +42,11 @@
     }
 
     /**
-     * Reads a service report.
+     * Decodes a service report.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The report.
+     * @throws IOException If the payload ends early.
      */
     static ServiceReport readServiceReport(FieldReader reader) throws IOException {
         String router = reader.name();
@@ -57,11 +58,11 @@
     }
 
     /**
-     * Writes a slot report.
+     * Encodes a slot report.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The report.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(SlotReport message, FieldWriter writer) throws IOException {
         writer.name(message.router());
@@ -95,11 +96,11 @@
     }
 
     /**
-     * Reads a slot report.
+     * Decodes a slot report.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The report.
+     * @throws IOException If the payload ends early.
      */
     static SlotReport readSlotReport(FieldReader reader) throws IOException {
         String router = reader.name();
@@ -119,11 +120,11 @@
     }
 
     /**
-     * Writes slot grants.
+     * Encodes slot grants.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The grants.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(SlotGrants message, FieldWriter writer) throws IOException {
         writer.name(message.coordinator());
@@ -141,11 +142,11 @@
     }
 
     /**
-     * Reads slot grants.
+     * Decodes slot grants.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The grants.
+     * @throws IOException If the payload ends early.
      */
     static SlotGrants readSlotGrants(FieldReader reader) throws IOException {
         String coordinator = reader.name();
@@ -157,50 +158,22 @@
                 coordinator, incarnation, routerIncarnation, completeReportRequested, grants);
     }
 
-    /**
-     * Reads an organisation's counters.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static ServiceEntry readServiceEntry(FieldReader reader) throws IOException {
         return new ServiceEntry(
                 reader.name(), reader.service(), reader.service(), reader.intNumber());
     }
 
-    /**
-     * Reads a total of grants.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static SlotGrant readSlotGrant(FieldReader reader) throws IOException {
         return new SlotGrant(
                 reader.name(), reader.number(), reader.name(), reader.number(), reader.flag());
     }
 
-    /**
-     * Reads a queue.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static Demand readDemand(FieldReader reader) throws IOException {
         PoolKind kind = reader.flag() ? PoolKind.MODEL : PoolKind.SERVICE;
         Pool pool = new Pool(kind, reader.name());
         return new Demand(pool, reader.name(), reader.intNumber(), reader.number());
     }
 
-    /**
-     * Reads slots of one class.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static Holding readHolding(FieldReader reader) throws IOException {
         return new Holding(
                 reader.name(),
@@ -212,13 +185,6 @@
                 reader.intNumber());
     }
 
-    /**
-     * Reads a target's failures.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static FailureCount readFailure(FieldReader reader) throws IOException {
         return new FailureCount(reader.name(), reader.number());
     }
--- a/src/main/java/org/martenwell/peer/TargetNotice.java
+++ b/src/main/java/org/martenwell/peer/TargetNotice.java
@@ -3,9 +3,9 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * Tells a peer that a target takes new work or not.
+ * Notice that a target started or stopped accepting new requests.
  *
- * @param target The target.
- * @param open {@code false} if it is leaving or does not answer.
+ * @param target The target's name.
+ * @param open {@code false} if the target is draining or doesn't respond.
  */
 public record TargetNotice(String target, boolean open) implements PeerMessage {}
--- a/src/main/java/org/martenwell/peer/package-info.java
+++ b/src/main/java/org/martenwell/peer/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Connections between routers: framed MessagePack messages over TCP, authenticated by a shared key.
+ * Messages between routers over TCP: framed, encoded as MessagePack and authenticated by a shared
+ * secret.
  */
 package org.martenwell.peer;
--- a/src/test/java/org/martenwell/peer/MessageCodecTest.java
+++ b/src/test/java/org/martenwell/peer/MessageCodecTest.java
@@ -36,13 +36,13 @@
 class MessageCodecTest {
 
     @Property(tries = 500, seed = "2")
-    void testBatchHoldsItsReports(@ForAll("messages") List<PeerMessage> messages) {
+    void testBatchDecodesToItsReports(@ForAll("messages") List<PeerMessage> messages) {
         List<GatewayReport> reports = reports(messages);
         assertThat(ReportBatches.reports(ReportBatches.of("relay", reports))).isEqualTo(reports);
     }
 
     @Property(tries = 500, seed = "1")
-    void testMessagesArriveAsSent(@ForAll("messages") List<PeerMessage> messages) {
+    void testMessagesSurviveEncodingAndDecoding(@ForAll("messages") List<PeerMessage> messages) {
         MessageWriter writer = new MessageWriter();
         MessageReader reader = new MessageReader();
         for (PeerMessage message : messages) {
@@ -51,39 +51,39 @@
     }
 
     @Property(tries = 2_000, seed = "2")
-    void testAnyBytesAreReadOrRefused(@ForAll byte[] bytes) {
+    void testArbitraryBytesAreDecodedOrRejected(@ForAll byte[] bytes) {
         try {
             new MessageReader().read(bytes);
-        } catch (MartenwellException refused) {
-            assertThat(refused.kind()).isEqualTo(ErrorKind.BAD_FRAME);
+        } catch (MartenwellException rejection) {
+            assertThat(rejection.kind()).isEqualTo(ErrorKind.BAD_FRAME);
         }
     }
 
     @Property(tries = 500, seed = "3")
-    void testDamagedMessagesAreReadOrRefused(
-            @ForAll("messages") List<PeerMessage> messages, @ForAll int place, @ForAll byte value) {
+    void testCorruptedMessagesAreDecodedOrRejected(
+            @ForAll("messages") List<PeerMessage> messages, @ForAll int index, @ForAll byte value) {
         for (PeerMessage message : messages) {
-            byte[] form = new MessageWriter().write(message);
-            form[Math.floorMod(place, form.length)] = value;
-            testAnyBytesAreReadOrRefused(form);
+            byte[] encoded = new MessageWriter().write(message);
+            encoded[Math.floorMod(index, encoded.length)] = value;
+            testArbitraryBytesAreDecodedOrRejected(encoded);
         }
     }
 
     @Property(tries = 300, seed = "4")
-    void testDamagedFramesAreRefused(
-            @ForAll byte[] payload, @ForAll int place, @ForAll byte difference) {
+    void testCorruptedFramesAreRejected(
+            @ForAll byte[] payload, @ForAll int index, @ForAll byte mask) {
         byte[] nonce = new byte[FrameCodec.NONCE_BYTES];
-        byte[] frame = new FrameCodec("key", nonce).seal(payload);
+        byte[] frame = new FrameCodec("key", nonce).sign(payload);
         assertThat(new FrameCodec("key", nonce).verify(frame)).isEqualTo(payload);
-        frame[Math.floorMod(place, frame.length)] ^= (byte) (difference | 1);
+        frame[Math.floorMod(index, frame.length)] ^= (byte) (mask | 1);
         assertThatThrownBy(() -> new FrameCodec("key", nonce).verify(frame))
                 .isInstanceOf(MartenwellException.class);
     }
 
     @Property(tries = 50, seed = "5")
-    void testFramesCannotBeSentAgain(@ForAll byte[] payload) {
+    void testReplayedFramesAreRejected(@ForAll byte[] payload) {
         byte[] nonce = new byte[FrameCodec.NONCE_BYTES];
-        byte[] frame = new FrameCodec("key", nonce).seal(payload);
+        byte[] frame = new FrameCodec("key", nonce).sign(payload);
         FrameCodec receiver = new FrameCodec("key", nonce);
         receiver.verify(frame);
         assertThatThrownBy(() -> receiver.verify(frame)).isInstanceOf(MartenwellException.class);
@@ -94,15 +94,22 @@
         Arbitrary<String> names = Arbitraries.strings().alpha().numeric().ofMaxLength(200);
         Arbitrary<Long> numbers = Arbitraries.longs().greaterOrEqual(0);
         Arbitrary<Integer> counts = Arbitraries.integers().greaterOrEqual(0);
-        Arbitrary<Double> services = Arbitraries.longs().between(0, 1L << 40).map(l -> l / 1000.0);
+        Arbitrary<Double> serviceAmounts =
+                Arbitraries.longs().between(0, 1L << 40).map(l -> l / 1000.0);
         Arbitrary<Boolean> flags = Arbitraries.of(true, false);
         Arbitrary<PeerMessage> heartbeats =
                 Combinators.combine(names, numbers, numbers, names, names, flags, numbers)
                         .as(Heartbeat::new);
         Arbitrary<ServiceEntry> entries =
-                Combinators.combine(names, services, services, counts).as(ServiceEntry::new);
+                Combinators.combine(names, serviceAmounts, serviceAmounts, counts)
+                        .as(ServiceEntry::new);
         Arbitrary<PeerMessage> serviceReports =
-                Combinators.combine(names, numbers, numbers, services, entries.list().ofMaxSize(5))
+                Combinators.combine(
+                                names,
+                                numbers,
+                                numbers,
+                                serviceAmounts,
+                                entries.list().ofMaxSize(5))
                         .as(ServiceReport::new);
         Arbitrary<Demand> demands =
                 Combinators.combine(names, names, counts, Arbitraries.longs())
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -15,10 +15,10 @@
 import org.martenwell.service.LoopThread;
 import org.martenwell.service.LoopbackPorts;
 
-/** Tests that peers notice connections that went silent without a reset. */
+/** Tests that connections that no longer deliver data are detected and replaced. */
 final class PeerNetworkTest {
 
-    /** How long a read may take until a test fails, in milliseconds. */
+    /** The read timeout of the test's socket, in milliseconds. */
     private static final int READ_MILLIS = 30_000;
 
     private final LoopThread thread = LoopThread.start("test-peers");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void testConnectionThatWentSilentIsOpenedAgain() throws IOException {
+    void testConnectionWithoutKeepAlivesIsReopened() throws IOException {
         try (SilentPeer peer = new SilentPeer(new byte[FrameCodec.NONCE_BYTES])) {
             thread.loop().execute(() -> network.peers(Map.of("p", peer.address())));
             Conditions.await(() -> peer.connections() > 1);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void testConnectionThatIsNeverGreetedIsOpenedAgain() throws IOException {
+    void testConnectionWithoutNonceIsReopened() throws IOException {
         try (SilentPeer peer = new SilentPeer(new byte[0])) {
             thread.loop().execute(() -> network.peers(Map.of("p", peer.address())));
             Conditions.await(() -> peer.connections() > 1);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void testServerSendsPulsesBehindItsGreeting() throws IOException {
+    void testServerSendsKeepAlivesAfterTheNonce() throws IOException {
         thread.call(network::start);
         InetSocketAddress server = IpAddress.of(address);
         try (Socket socket = new Socket(server.getAddress(), server.getPort())) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Takes no notice of anything. */
+    /** Ignores all events. */
     private static final class IgnoringListener implements PeerListener {
 
         @Override
--- a/src/test/java/org/martenwell/peer/SilentPeer.java
+++ b/src/test/java/org/martenwell/peer/SilentPeer.java
@@ -8,25 +8,26 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A peer that takes connections, sends a few bytes over each and then nothing any more. */
+/**
+ * A peer that accepts connections, sends a given prefix over each and then stays silent without
+ * closing them.
+ */
 final class SilentPeer implements Closeable {
 
-    /** The port. */
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    /** The connections that were taken; all stay open. */
+    /** The accepted connections, which stay open. */
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
 
-    /** What is sent over each connection. */
-    private final byte[] greeting;
+    private final byte[] prefix;
 
     /**
-     * Opens the port.
+     * Listens on a free port.
      *
-     * @param greeting What is sent over each connection.
+     * @param prefix The bytes to send over each connection.
      */
-    SilentPeer(byte[] greeting) throws IOException {
-        this.greeting = greeting;
+    SilentPeer(byte[] prefix) throws IOException {
+        this.prefix = prefix;
         Thread thread = new Thread(this::acceptConnections, "silent-peer");
         thread.setDaemon(true);
         thread.start();
@@ -45,10 +46,10 @@
             while (true) {
                 Socket socket = server.accept();
                 accepted.add(socket);
-                socket.getOutputStream().write(greeting);
+                socket.getOutputStream().write(prefix);
             }
         } catch (IOException expected) {
-            // The test is over.
+            // The socket was closed at the end of the test.
         }
     }
 
