--- a/src/main/java/org/martenwell/message/PeerMessage.java
+++ b/src/main/java/org/martenwell/message/PeerMessage.java
@@ -1,4 +1,7 @@
 package org.martenwell.message;
 
-/** A message from one router to another. */
+/**
+ * Message sent from one router to another. Every implementation needs a type in {@code
+ * org.martenwell.peer.MessageType}, which defines its encoding.
+ */
 public interface PeerMessage {}
--- a/src/main/java/org/martenwell/message/package-info.java
+++ b/src/main/java/org/martenwell/message/package-info.java
@@ -1,2 +1,2 @@
-/** What all messages between routers have in common. */
+/** Base type of the messages that routers exchange. */
 package org.martenwell.message;
