--- a/src/main/java/org/martenwell/directory/KindListing.java
+++ b/src/main/java/org/martenwell/directory/KindListing.java
@@ -44,7 +44,7 @@
             Freshness freshness,
             EntryPage page,
             KindListing listed) {
-        if (!page.more() || page.entries().isEmpty()) {
+        if (!page.hasMore() || page.entries().isEmpty()) {
             return Promise.of(listed);
         }
         List<StoredEntry> entries = page.entries();
--- a/src/main/java/org/martenwell/directory/KindWatcher.java
+++ b/src/main/java/org/martenwell/directory/KindWatcher.java
@@ -97,7 +97,7 @@
 
     @Override
     public Promise<Void> start() {
-        next(generation);
+        makeNextCall(generation);
         return Promise.complete();
     }
 
@@ -111,10 +111,10 @@
     public void refresh() {
         generation++;
         listDue = true;
-        next(generation);
+        makeNextCall(generation);
     }
 
-    private void next(int callGeneration) {
+    private void makeNextCall(int callGeneration) {
         if (callGeneration != generation) {
             return;
         }
@@ -152,7 +152,7 @@
         entries = listing.entries();
         revision = listing.revision();
         notifyListener();
-        next(callGeneration);
+        makeNextCall(callGeneration);
     }
 
     /**
@@ -195,9 +195,9 @@
                                 availability.watchFailed(failure);
                                 listDue = true;
                                 retryLater(callGeneration);
-                            } else if (changes.lost()) {
+                            } else if (changes.historyLost()) {
                                 listDue = true;
-                                next(callGeneration);
+                                makeNextCall(callGeneration);
                             } else {
                                 apply(callGeneration, changes);
                             }
@@ -208,7 +208,7 @@
         delayMillis = INITIAL_DELAY_MILLIS;
         availability.responded();
         for (EntryChange each : changes.changes()) {
-            if (each.gone()) {
+            if (each.removed()) {
                 entries.remove(each.entry().name());
             } else {
                 entries.put(each.entry().name(), each.entry());
@@ -216,10 +216,10 @@
         }
         revision = Math.max(revision, changes.revision());
         if (changes.changes().isEmpty()) {
-            next(callGeneration);
+            makeNextCall(callGeneration);
         } else {
             notifyListener();
-            source.delay(timing.get().batchMillis(), () -> next(callGeneration));
+            source.delay(timing.get().batchMillis(), () -> makeNextCall(callGeneration));
         }
     }
 
@@ -229,7 +229,7 @@
      * @param callGeneration The generation of the failed call.
      */
     private void retryLater(int callGeneration) {
-        source.delayWithJitter(delayMillis, () -> next(callGeneration));
+        source.delayWithJitter(delayMillis, () -> makeNextCall(callGeneration));
         delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
     }
 }
--- a/src/test/java/org/martenwell/directory/ScriptedStore.java
+++ b/src/test/java/org/martenwell/directory/ScriptedStore.java
@@ -29,12 +29,12 @@
     private final List<Long> watchedRevisions = new ArrayList<>();
 
     /** Adds a response to the script. */
-    void willReturn(long revision, boolean more, String... names) {
+    void willReturn(long revision, boolean hasMore, String... names) {
         List<StoredEntry> entries = new ArrayList<>();
         for (String each : names) {
             entries.add(new StoredEntry(each, revision, JsonNodeFactory.instance.objectNode()));
         }
-        scriptedPages.add(Optional.of(new EntryPage(entries, more, revision)));
+        scriptedPages.add(Optional.of(new EntryPage(entries, hasMore, revision)));
     }
 
     /** Adds a failure to the script. */
