--- a/src/main/java/org/martenwell/directory/HeldRequestJson.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestJson.java
@@ -50,7 +50,7 @@
         value.put(GATEWAY, request.gateway());
         value.put(SINCE, request.sinceMillis());
         ArrayNode incarnations = value.putArray(INCARNATIONS);
-        request.lives().forEach(incarnations::add);
+        request.crashedIncarnations().forEach(incarnations::add);
         return value;
     }
 
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -1,12 +1,12 @@
 package org.martenwell.gateway;
 
-import org.martenwell.balance.PlacedPart;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.exchange.BufferedResponse;
 import org.martenwell.exchange.InternalHttpClient;
-import org.martenwell.prompt.KeptChanges;
-import org.martenwell.prompt.KeptPart;
+import org.martenwell.prompt.CachedPart;
+import org.martenwell.prompt.CachedPartChanges;
+import org.martenwell.prompt.PromptCacheView;
 import org.martenwell.prompt.PromptChain;
-import org.martenwell.prompt.PromptMemory;
 
 /**
  * Long poll of one engine for changes of its prompt cache. Changes arrive late and some are lost,
@@ -79,7 +79,7 @@
         if (closed) {
             return;
         }
-        long pauseMillis = target.load().availability().restMillis(core.now());
+        long pauseMillis = target.load().availability().pauseMillis(core.now());
         if (pauseMillis > 0) {
             schedulePoll(pauseMillis);
             return;
@@ -105,27 +105,27 @@
     }
 
     private void applyChanges(BufferedResponse reply) {
-        KeptChanges changes = core.dialect().keptChanges(reply.body());
+        CachedPartChanges changes = core.dialect().keptChanges(reply.body());
         since = changes.next();
         changes.parts().forEach(this::applyChange);
         core.log().cacheChangesReceived(changes.parts().size(), changes.lost());
     }
 
     /** Applies a change. Additions of parts that only one request has used are ignored. */
-    private void applyChange(KeptPart change) {
+    private void applyChange(CachedPart change) {
         long key = PromptChain.key(change.model(), change.part().id());
         long tokens = change.part().tokens();
-        PromptMemory memory = target.load().memory();
-        boolean differs = tokens > 0 != memory.keeps(key);
+        PromptCacheView memory = target.load().promptCache();
+        boolean differs = tokens > 0 != memory.contains(key);
         if (!differs || (tokens > 0 && !core.sharedKeys().contains(key))) {
             return;
         }
         core.log().cacheEntryCorrected(tokens > 0);
-        core.queueCacheUpdate(new PlacedPart(target.load().target().life(), key, tokens));
+        core.queueCacheUpdate(new CachedPartUpdate(target.load().target().life(), key, tokens));
         if (tokens > 0) {
-            memory.keep(key, tokens, core.promptCacheCapacity(target.load()));
+            memory.put(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
-            memory.drop(key);
+            memory.evict(key);
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 import org.martenwell.balance.EngineChoice;
 import org.martenwell.balance.EngineChooser;
-import org.martenwell.balance.PromptKeepers;
-import org.martenwell.balance.PromptNeed;
-import org.martenwell.balance.ReadingRate;
+import org.martenwell.balance.EngineDemand;
+import org.martenwell.balance.PrefillRate;
+import org.martenwell.balance.PromptCacheLookup;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.Route;
 import org.martenwell.share.ShareTier;
 import org.martenwell.share.ShareUse;
@@ -24,9 +24,9 @@
 
     private final GatewayCore core;
 
-    private final PromptNeed need;
+    private final EngineDemand demand;
 
-    private final EngineTerms engine;
+    private final EngineCapacity engine;
 
     private final String service;
 
@@ -60,23 +60,23 @@
      * Creates the routing of a request.
      *
      * @param core The state that all requests share.
-     * @param need The resources that the request needs.
+     * @param demand The resources that the request needs.
      * @param engine The capacity of the engines.
      * @param service The name of the engines' service.
      */
-    EngineRouting(GatewayCore core, PromptNeed need, EngineTerms engine, String service) {
+    EngineRouting(GatewayCore core, EngineDemand demand, EngineCapacity engine, String service) {
         this.core = core;
-        this.need = need;
+        this.demand = demand;
         this.engine = engine;
         this.service = service;
     }
 
     /** Records the organisation's demand and the prompt parts that the request may share. */
     void recordDemand() {
-        for (int index = 0; index < need.chain().length(); index++) {
-            core.sharedKeys().seen(need.chain().key(index));
+        for (int index = 0; index < demand.chain().length(); index++) {
+            core.sharedKeys().seen(demand.chain().key(index));
         }
-        core.shares().asked(need.organisation(), need.cost(), core.now());
+        core.shares().requested(demand.organisation(), demand.cost(), core.now());
     }
 
     /**
@@ -85,7 +85,8 @@
      * @return The use, with the cost of this request taken into account.
      */
     ShareUse shareUse() {
-        return core.shares().use(need.organisation(), need.cost(), core.windowTokens(), core.now());
+        return core.shares()
+                .use(demand.organisation(), demand.cost(), core.windowTokens(), core.now());
     }
 
     /**
@@ -112,7 +113,7 @@
         if (tier == ShareTier.BEYOND || allowed.isEmpty()) {
             return new Decision(choice, Optional.of(ErrorKind.RATE_EXCEEDED), use);
         }
-        if (now - need.arrivedMillis() >= MAX_WAIT_PART * route.objectiveMillis()) {
+        if (now - demand.arrivedMillis() >= MAX_WAIT_PART * route.objectiveMillis()) {
             return new Decision(choice, Optional.of(ErrorKind.WAIT_TOO_LONG), use);
         }
         return new Decision(choice, Optional.empty(), use);
@@ -127,7 +128,7 @@
     private List<TargetLoad> allowed(List<TargetLoad> open) {
         return tier == ShareTier.PROMISED
                 ? open
-                : core.reserve().spare(open, core.tokensWithinShares());
+                : core.reserve().unreserved(open, core.tokensWithinShares());
     }
 
     /**
@@ -157,17 +158,18 @@
      */
     private Optional<EngineChoice> choose(
             List<TargetLoad> open, List<TargetLoad> allowed, long now) {
-        ReadingRate rate = core.targets().rate(service);
+        PrefillRate rate = core.targets().rate(service);
         EngineChooser chooser = core.engines();
-        List<TargetLoad> candidates = chooser.withRoom(need, tier, allowed, engine, rate, now);
+        List<TargetLoad> candidates =
+                chooser.withCapacity(demand, tier, allowed, engine, rate, now);
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        PromptKeepers cacheLookup =
-                PromptKeepers.of(need.chain(), allowed, copySources(open, allowed));
+        PromptCacheLookup cacheLookup =
+                PromptCacheLookup.of(demand.chain(), allowed, copySources(open, allowed));
         double unreportedWork = core.unreportedWork().perTarget(open.size(), now);
         return chooser.choose(
-                need, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
+                demand, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
     }
 
     /**
@@ -194,16 +196,16 @@
     void recordSent(EngineChoice choice) {
         boolean first = charge.isEmpty();
         if (first) {
-            core.shares().begun(need.organisation(), need.cost(), tier, core.now());
+            core.shares().sent(demand.organisation(), demand.cost(), tier, core.now());
             charge = Optional.of(new ShareCharge(tier, core.now()));
         }
-        double promptMillis = core.targets().rate(service).millis(choice.unreadTokens());
+        double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
         core.unreportedWork()
                 .sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
-            core.reserve().sent(promptMillis, need.cost());
+            core.reserve().sent(promptMillis, demand.cost());
         }
-        assumedEntries = Optional.of(AssumedCacheEntries.add(core, choice.load(), need.chain()));
+        assumedEntries = Optional.of(AssumedCacheEntries.add(core, choice.load(), demand.chain()));
     }
 
     /**
@@ -223,9 +225,9 @@
 
     private void refund(ShareCharge refunded) {
         core.shares()
-                .notBegun(
-                        need.organisation(),
-                        need.cost(),
+                .revertSent(
+                        demand.organisation(),
+                        demand.cost(),
                         refunded.tier(),
                         refunded.sentMillis(),
                         core.now());
@@ -250,8 +252,8 @@
      */
     RunningRequest running(EngineChoice choice) {
         return new RunningRequest(
-                choice.unreadTokens(),
-                need.ownTokens() + need.answerTokens(),
+                choice.prefillTokens(),
+                demand.ownTokens() + demand.answerTokens(),
                 core.now(),
                 choice.backlogMillis());
     }
@@ -262,7 +264,7 @@
      * @return The organisation's name, empty if callers have no keys.
      */
     String organisation() {
-        return need.organisation();
+        return demand.organisation();
     }
 
     private Optional<EngineChoice> chooseLeastLoaded(List<TargetLoad> open, long now) {
@@ -277,10 +279,13 @@
      * @return The choice, with an unlimited backlog.
      */
     private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> open) {
-        PromptKeepers cacheLookup =
-                PromptKeepers.of(need.chain(), open, core.targets().leaving(service));
-        Optional<TargetLoad> source = engine.copies() ? cacheLookup.source(load) : Optional.empty();
-        long cachedTokens = source.isPresent() ? cacheLookup.most() : cacheLookup.keptTokens(load);
-        return new EngineChoice(load, need.promptTokens() - cachedTokens, Double.MAX_VALUE, source);
+        PromptCacheLookup cacheLookup =
+                PromptCacheLookup.of(demand.chain(), open, core.targets().leaving(service));
+        Optional<TargetLoad> source =
+                engine.canCopyCache() ? cacheLookup.source(load) : Optional.empty();
+        long cachedTokens =
+                source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(load);
+        return new EngineChoice(
+                load, demand.promptTokens() - cachedTokens, Double.MAX_VALUE, source);
     }
 }
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoadReport;
-import org.martenwell.quarantine.QuarantineWord;
+import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.share.ShareCounts;
 
 /** Builds the reports that this gateway sends to its peers. */
@@ -58,7 +58,7 @@
         return build(
                 core.takeCacheUpdates(),
                 includeShares ? core.shares().own(core.now()) : ShareCounts.NONE,
-                core.harmful().takeNews(core.members()));
+                core.harmful().takeUpdates(core.members()));
     }
 
     /**
@@ -88,7 +88,7 @@
      * @return The report.
      */
     private GatewayReport build(
-            List<PlacedPart> placed, ShareCounts shares, List<QuarantineWord> quarantine) {
+            List<CachedPartUpdate> placed, ShareCounts shares, List<QuarantineUpdate> quarantine) {
         return new GatewayReport(
                 name,
                 incarnation,
@@ -101,14 +101,15 @@
     }
 
     /** {@return all known contents of prompt caches} */
-    private List<PlacedPart> cached() {
-        List<PlacedPart> cached = new ArrayList<>();
+    private List<CachedPartUpdate> cached() {
+        List<CachedPartUpdate> cached = new ArrayList<>();
         for (KnownTarget each : core.targets().all()) {
             String target = each.load().target().life();
             each.load()
-                    .memory()
-                    .kept()
-                    .forEach((key, tokens) -> cached.add(new PlacedPart(target, key, tokens)));
+                    .promptCache()
+                    .sizes()
+                    .forEach(
+                            (key, tokens) -> cached.add(new CachedPartUpdate(target, key, tokens)));
         }
         return cached;
     }
--- a/src/main/java/org/martenwell/gateway/ReportReceiver.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -4,9 +4,9 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.TargetLoadReport;
 
@@ -84,7 +84,7 @@
      *
      * @param part The part that is cached or no longer cached.
      */
-    private void updateCachedPart(PlacedPart part) {
+    private void updateCachedPart(CachedPartUpdate part) {
         core.targets()
                 .findByIncarnation(part.target())
                 .ifPresent(target -> updateCachedPart(target.load(), part));
@@ -96,12 +96,12 @@
      * @param load The target.
      * @param part The part that is cached or no longer cached.
      */
-    private void updateCachedPart(TargetLoad load, PlacedPart part) {
+    private void updateCachedPart(TargetLoad load, CachedPartUpdate part) {
         if (part.tokens() > 0) {
             core.sharedKeys().seen(part.key());
-            load.memory().keep(part.key(), part.tokens(), core.promptCacheCapacity(load));
+            load.promptCache().put(part.key(), part.tokens(), core.promptCacheCapacity(load));
         } else {
-            load.memory().drop(part.key());
+            load.promptCache().evict(part.key());
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.martenwell.balance.EngineChoice;
-import org.martenwell.balance.PromptNeed;
+import org.martenwell.balance.EngineDemand;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.error.ErrorKind;
@@ -17,11 +17,11 @@
 import org.martenwell.exchange.ResponseFailure;
 import org.martenwell.prompt.PromptChain;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.route.GatewayConfiguration;
-import org.martenwell.route.OrganisationTerms;
+import org.martenwell.route.OrganisationConfiguration;
 import org.martenwell.route.Route;
-import org.martenwell.route.ServiceTerms;
+import org.martenwell.route.ServiceConfiguration;
 import org.martenwell.share.ShareUse;
 
 /**
@@ -141,11 +141,11 @@
             return;
         }
         route = found.get();
-        if (configuration.get().keyed() && !route.anonymous()) {
+        if (configuration.get().apiKeysRequired() && !route.anonymous()) {
             organisation =
                     metadata.key()
                             .map(configuration.get().keys()::get)
-                            .map(OrganisationTerms::name);
+                            .map(OrganisationConfiguration::name);
             if (organisation.isEmpty()) {
                 respond(ErrorKind.UNAUTHENTICATED, 0);
                 return;
@@ -179,13 +179,14 @@
      * @return The routing, or empty if the service is plain or the caller stated no prompt.
      */
     private Optional<EngineRouting> engineRouting(GatewayConfiguration configuration) {
-        Optional<EngineTerms> terms = configuration.service(service).flatMap(ServiceTerms::engine);
+        Optional<EngineCapacity> terms =
+                configuration.service(service).flatMap(ServiceConfiguration::engine);
         if (terms.isEmpty() || metadata.generation().isEmpty()) {
             return Optional.empty();
         }
         GenerationMetadata generation = metadata.generation().get();
-        PromptNeed need =
-                new PromptNeed(
+        EngineDemand need =
+                new EngineDemand(
                         organisation.orElse(""),
                         PromptChain.of(generation.model(), generation.parts()),
                         generation.promptTokens(),
@@ -303,7 +304,7 @@
             return;
         }
         if (history.recordAttempt(id)) {
-            core.countFresh();
+            core.countFirstAttempt();
         }
         attempt = new SendAttempt(this, target.get(), running);
         relay.reset(attempt);
@@ -423,7 +424,7 @@
         from.target()
                 .load()
                 .health()
-                .close(
+                .suspend(
                         core.now(),
                         misdirected ? MISDIRECTED_SUSPENSION_MILLIS : FULL_SUSPENSION_MILLIS);
         if (mayRetry()) {
@@ -444,7 +445,7 @@
         engines.ifPresent(EngineRouting::rollBackSent);
         if (!failure.sent()) {
             core.log().attemptFailed(requestId(), targetId(from), failure.name());
-            from.target().load().health().notReached(core.now());
+            from.target().load().health().connectFailed(core.now());
             if (failure == ResponseFailure.REFUSED) {
                 core.harmful().targetCrashed(from.target());
             }
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -14,7 +14,7 @@
 import org.martenwell.balance.Availabilities;
 import org.martenwell.balance.Availability;
 import org.martenwell.balance.NoticeSource;
-import org.martenwell.balance.ReadingRate;
+import org.martenwell.balance.PrefillRate;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.directory.DirectoryTarget;
 import org.martenwell.exchange.InternalHttpClient;
@@ -42,7 +42,7 @@
     private final Map<String, KnownTarget> targetsByIncarnation = new HashMap<>();
 
     /** The prefill rates by service. */
-    private final Map<String, ReadingRate> rates = new HashMap<>();
+    private final Map<String, PrefillRate> rates = new HashMap<>();
 
     /**
      * The time that the directory may lag behind peers in reporting that a target drains, in
@@ -126,7 +126,7 @@
      * @param now The current time, in milliseconds.
      */
     private void markLeaving(String incarnation, NoticeSource source, long now) {
-        if (availability(incarnation).leave(source, now)) {
+        if (availability(incarnation).markDraining(source, now)) {
             listener.leaves(incarnation, source);
         }
     }
@@ -151,7 +151,7 @@
     private void removeTarget(String id) {
         KnownTarget gone = targets.remove(id);
         targetsByIncarnation.remove(gone.load().target().life());
-        if (!gone.load().availability().leaves()) {
+        if (!gone.load().availability().isDraining()) {
             listener.crashed(gone);
         }
         gone.connections().close();
@@ -192,8 +192,8 @@
         for (KnownTarget each : targets.values()) {
             Availability availability = each.load().availability();
             DirectoryTarget target = each.load().target();
-            boolean unconfirmed = availability.leaves() && !target.leaving();
-            if (unconfirmed && now - availability.leavingSinceMillis() >= DIRECTORY_LAG_MILLIS) {
+            boolean unconfirmed = availability.isDraining() && !target.leaving();
+            if (unconfirmed && now - availability.drainingSinceMillis() >= DIRECTORY_LAG_MILLIS) {
                 stale |= refreshed.add(target.life());
             }
         }
@@ -204,7 +204,7 @@
     List<String> leaving() {
         List<String> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
-            if (each.load().availability().leaves()) {
+            if (each.load().availability().isDraining()) {
                 found.add(each.load().target().life());
             }
         }
@@ -224,9 +224,9 @@
         for (KnownTarget each : targets.values()) {
             DirectoryTarget target = each.load().target();
             if (target.service().equals(service)
-                    && each.load().availability().open(now)
+                    && each.load().availability().isAvailable(now)
                     && !tried.contains(target.id())
-                    && each.load().health().open(now)) {
+                    && each.load().health().isAvailable(now)) {
                 open.add(each.load());
             }
         }
@@ -245,8 +245,8 @@
                 .map(KnownTarget::load)
                 .filter(each -> each.target().service().equals(service))
                 .map(TargetLoad::availability)
-                .filter(each -> each.rests(now) && !each.leaves())
-                .mapToLong(each -> each.restMillis(now))
+                .filter(each -> each.isPaused(now) && !each.isDraining())
+                .mapToLong(each -> each.pauseMillis(now))
                 .min();
     }
 
@@ -259,7 +259,7 @@
     List<TargetLoad> leaving(String service) {
         List<TargetLoad> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
-            boolean leaves = each.load().availability().leaves();
+            boolean leaves = each.load().availability().isDraining();
             if (leaves && each.load().target().service().equals(service)) {
                 found.add(each.load());
             }
@@ -298,8 +298,8 @@
      * @param service The name of the service.
      * @return The rate, which is updated by its users.
      */
-    ReadingRate rate(String service) {
-        return rates.computeIfAbsent(service, name -> new ReadingRate());
+    PrefillRate rate(String service) {
+        return rates.computeIfAbsent(service, name -> new PrefillRate());
     }
 
     /** Closes all idle connections. */
--- a/src/main/java/org/martenwell/member/CoordinatorAssignment.java
+++ b/src/main/java/org/martenwell/member/CoordinatorAssignment.java
@@ -10,8 +10,9 @@
 import org.martenwell.schedule.CoordinatorReference;
 
 /**
- * Assigns a keeper to each target by rendezvous hashing, preferring routers of the target's failure
- * domain. When a router comes or goes, only targets that it wins or held change their keeper.
+ * Assigns a coordinator to each target by rendezvous hashing, among the routers of the target's
+ * failure domain if there are any. When a router joins or leaves, only the targets that it wins or
+ * coordinated are reassigned.
  */
 public enum CoordinatorAssignment {
 
@@ -19,20 +20,20 @@
     INSTANCE;
 
     /**
-     * Assigns keepers.
+     * Assigns coordinators.
      *
      * @param targets The targets.
-     * @param candidates The routers that may keep targets.
-     * @return The keeper of each target, by target; empty if there are no candidates.
+     * @param candidates The routers that may coordinate targets.
+     * @return The coordinators by name of the target, empty if there are no candidates.
      */
     public Map<String, CoordinatorReference> assign(
             Collection<Target> targets, Collection<CoordinatorCandidate> candidates) {
         Map<String, CoordinatorReference> coordinators = new LinkedHashMap<>();
         List<CoordinatorCandidate> all = List.copyOf(candidates);
         for (Target target : targets) {
-            List<CoordinatorCandidate> near = new ArrayList<>(all);
-            near.removeIf(each -> !each.failureDomain().equals(target.failureDomain()));
-            List<CoordinatorCandidate> preferred = near.isEmpty() ? all : near;
+            List<CoordinatorCandidate> local = new ArrayList<>(all);
+            local.removeIf(each -> !each.failureDomain().equals(target.failureDomain()));
+            List<CoordinatorCandidate> preferred = local.isEmpty() ? all : local;
             for (CoordinatorCandidate winner :
                     RendezvousHash.best(
                             preferred,
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.ReportBatch;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantineWord;
-import org.martenwell.quarantine.WordKind;
+import org.martenwell.quarantine.QuarantineUpdate;
+import org.martenwell.quarantine.QuarantineUpdateKind;
 import org.martenwell.share.ShareCounts;
 import org.martenwell.share.ShareSums;
 
@@ -36,12 +36,12 @@
         for (TargetLoadReport each : message.loads()) {
             writer.name(each.target());
             writer.number(each.sums().requests());
-            writer.number(each.sums().unreadTokens());
+            writer.number(each.sums().prefillTokens());
             writer.number(each.sums().memoryTokens());
         }
         write(message.shares(), writer);
         writer.count(message.placed().size());
-        for (PlacedPart each : message.placed()) {
+        for (CachedPartUpdate each : message.placed()) {
             writer.name(each.target());
             writer.number(each.key());
             writer.number(each.tokens());
@@ -51,21 +51,22 @@
             writer.name(each);
         }
         writer.count(message.quarantine().size());
-        for (QuarantineWord each : message.quarantine()) {
+        for (QuarantineUpdate each : message.quarantine()) {
             write(each, writer);
         }
     }
 
-    private static void write(QuarantineWord update, FieldWriter writer) throws IOException {
+    private static void write(QuarantineUpdate update, FieldWriter writer) throws IOException {
         writer.number(update.fingerprint().scope());
         writer.number(update.fingerprint().content());
         writer.number(update.kind().number());
-        writer.text(update.life());
+        writer.text(update.incarnation());
     }
 
-    private static QuarantineWord readQuarantineUpdate(FieldReader reader) throws IOException {
+    private static QuarantineUpdate readQuarantineUpdate(FieldReader reader) throws IOException {
         Fingerprint fingerprint = new Fingerprint(reader.number(), reader.number());
-        return new QuarantineWord(fingerprint, WordKind.of(reader.intNumber()), reader.text());
+        return new QuarantineUpdate(
+                fingerprint, QuarantineUpdateKind.of(reader.intNumber()), reader.text());
     }
 
     private static void write(ShareCounts shares, FieldWriter writer) throws IOException {
@@ -73,9 +74,9 @@
         writer.count(shares.sums().size());
         for (Map.Entry<String, ShareSums> each : shares.sums().entrySet()) {
             writer.name(each.getKey());
-            writer.number(Math.round(each.getValue().asked()));
-            writer.number(Math.round(each.getValue().begun()));
-            writer.number(Math.round(each.getValue().within()));
+            writer.number(Math.round(each.getValue().requested()));
+            writer.number(Math.round(each.getValue().sent()));
+            writer.number(Math.round(each.getValue().withinShare()));
         }
     }
 
@@ -117,7 +118,8 @@
                 reader.number(),
                 reader.list(each -> new TargetLoadReport(each.name(), readSums(each))),
                 readShares(reader),
-                reader.list(each -> new PlacedPart(each.name(), each.number(), each.number())),
+                reader.list(
+                        each -> new CachedPartUpdate(each.name(), each.number(), each.number())),
                 reader.list(FieldReader::name),
                 reader.list(GatewayMessageCodec::readQuarantineUpdate));
     }
--- /dev/null
+++ b/src/main/java/org/martenwell/route/OrganisationConfiguration.java
@@ -0,0 +1,9 @@
+package org.martenwell.route;
+
+/**
+ * Configuration of an organisation that has API keys.
+ *
+ * @param name The name of the organisation.
+ * @param priority The priority of its requests; 0 is the highest.
+ */
+public record OrganisationConfiguration(String name, int priority) {}
--- a/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -14,14 +14,14 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.martenwell.balance.CachedPartUpdate;
 import org.martenwell.balance.GatewayReport;
 import org.martenwell.balance.LoadSums;
-import org.martenwell.balance.PlacedPart;
 import org.martenwell.balance.RunningRequest;
 import org.martenwell.balance.TargetLoad;
 import org.martenwell.balance.TargetLoadReport;
 import org.martenwell.directory.DirectoryTarget;
-import org.martenwell.route.EngineTerms;
+import org.martenwell.route.EngineCapacity;
 import org.martenwell.service.IpAddress;
 import org.martenwell.share.ShareCounts;
 
@@ -45,19 +45,19 @@
 
     @BeforeEach
     void start() {
-        core.configure(GatewayCores.configuration(new EngineTerms(4, 100_000, true)));
+        core.configure(GatewayCores.configuration(new EngineCapacity(4, 100_000, true)));
         updateDirectory(target(5, false));
     }
 
     @Test
     void testRestartedTargetHasNoRequestsAndAnEmptyPromptCache() {
         load().sent(new RunningRequest(100, 100, 1, 0));
-        load().memory().keep(PART, 100, 100_000);
-        load().health().close(1, 60_000);
+        load().promptCache().put(PART, 100, 100_000);
+        load().health().suspend(1, 60_000);
         updateDirectory(target(6, false));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
-        assertThat(load().memory().isEmpty()).isTrue();
-        assertThat(load().health().open(1)).isTrue();
+        assertThat(load().promptCache().isEmpty()).isTrue();
+        assertThat(load().health().isAvailable(1)).isTrue();
     }
 
     @Test
@@ -77,7 +77,7 @@
         updateDirectory(target(6, false));
         receiver.apply(report(former, true));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
-        assertThat(load().memory().isEmpty()).isTrue();
+        assertThat(load().promptCache().isEmpty()).isTrue();
         assertThat(core.targets().leaving()).isEmpty();
     }
 
@@ -148,7 +148,7 @@
                 leaving.add(born);
             }
             assertThat(load().all(1).requests()).isEqualTo(loaded ? 1 : 0);
-            assertThat(load().memory().isEmpty()).isEqualTo(!cached);
+            assertThat(load().promptCache().isEmpty()).isEqualTo(!cached);
             assertThat(core.targets().leaving()).hasSize(leaving.contains(current) ? 1 : 0);
         }
     }
@@ -173,7 +173,7 @@
                 1,
                 List.of(new TargetLoadReport(incarnation, new LoadSums(1, 5, 7))),
                 ShareCounts.NONE,
-                List.of(new PlacedPart(incarnation, PART, 100)),
+                List.of(new CachedPartUpdate(incarnation, PART, 100)),
                 leaving ? List.of(incarnation) : List.of(),
                 List.of());
     }
--- a/src/test/java/org/martenwell/prompt/SharedKeysTest.java
+++ b/src/test/java/org/martenwell/prompt/SharedKeysTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests remembering shared parts and forgetting dropped ones. */
+/** Tests the eviction of shared keys and of cached parts. */
 final class SharedKeysTest {
 
     @Test
-    void testKeysSeenLastAreRemembered() {
+    void testLeastRecentlyUsedKeysAreDiscarded() {
         SharedKeys keys = new SharedKeys();
         for (long key = 0; key < 20_000; key++) {
             keys.seen(0);
@@ -20,15 +20,15 @@
     }
 
     @Test
-    void testDroppedPartMakesRoom() {
-        PromptMemory memory = new PromptMemory();
-        memory.keep(1, 60, 100);
-        assertThat(memory.drop(1)).isTrue();
-        assertThat(memory.drop(1)).isFalse();
-        memory.keep(2, 60, 100);
-        memory.keep(3, 40, 100);
-        assertThat(memory.keeps(1)).isFalse();
-        assertThat(memory.keeps(2)).isTrue();
-        assertThat(memory.keeps(3)).isTrue();
+    void testEvictedPartFreesCapacity() {
+        PromptCacheView cache = new PromptCacheView();
+        cache.put(1, 60, 100);
+        assertThat(cache.evict(1)).isTrue();
+        assertThat(cache.evict(1)).isFalse();
+        cache.put(2, 60, 100);
+        cache.put(3, 40, 100);
+        assertThat(cache.contains(1)).isFalse();
+        assertThat(cache.contains(2)).isTrue();
+        assertThat(cache.contains(3)).isTrue();
     }
 }
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -16,20 +16,22 @@
 
     private static final Fingerprint HARMFUL = new Fingerprint(1, 2);
 
-    /** Another request of the same path and caller. */
+    /** A request of the same scope with another body. */
     private static final Fingerprint OTHER = new Fingerprint(1, 3);
 
-    /** Longer than a whole answer outweighs targets that end, in milliseconds. */
-    private static final long LATER_MILLIS = 11_000;
+    /**
+     * Longer than the time for which crashes are ignored after clearing a request, in milliseconds.
+     */
+    private static final long AFTER_CLEARING_MILLIS = 11_000;
 
     private final Quarantine quarantine = new Quarantine();
 
     @Test
-    void testThirdTargetThatEndsDecidesOnceItIsClearThatItIsNoChance() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.ended(HARMFUL, "b", 400);
+    void testThirdCrashQuarantinesAfterTheDecisionDelay() {
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "b", 400);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        quarantine.ended(HARMFUL, "c", 800);
+        quarantine.recordCrash(HARMFUL, "c", 800);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.UNDECIDED);
         assertThat(quarantine.decide(1_700)).isEmpty();
         assertThat(quarantine.decide(1_800)).containsExactly(HARMFUL);
@@ -38,129 +40,129 @@
     }
 
     @Test
-    void testTargetThatIsToldOfTwiceCountsOnce() {
+    void testRepeatedReportOfOneCrashCountsOnce() {
         for (int times = 0; times < 3; times++) {
-            quarantine.ended(HARMFUL, "a", 0);
-            quarantine.heard(QuarantineWord.ended(HARMFUL, "a"), 0);
+            quarantine.recordCrash(HARMFUL, "a", 0);
+            quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "a"), 0);
         }
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
     }
 
-    /** A status query without a body comes thousands of times and runs wherever a target ends. */
+    /** Frequent requests, such as status queries, run on most targets that crash. */
     @Test
-    void testWholeAnswerOutweighsTargetsThatEnded() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.ended(HARMFUL, "b", 400);
-        quarantine.ended(HARMFUL, "c", 800);
+    void testCompletedRequestClearsRecordedCrashes() {
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "b", 400);
+        quarantine.recordCrash(HARMFUL, "c", 800);
         assertThat(quarantine.clear(HARMFUL, 900)).isFalse();
-        quarantine.ended(HARMFUL, "d", 1_000);
-        quarantine.heard(QuarantineWord.ended(HARMFUL, "a"), 1_100);
-        assertThat(quarantine.lives(HARMFUL)).isEmpty();
+        quarantine.recordCrash(HARMFUL, "d", 1_000);
+        quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "a"), 1_100);
+        assertThat(quarantine.crashedIncarnations(HARMFUL)).isEmpty();
         assertThat(quarantine.decide(2_000)).isEmpty();
     }
 
-    /** Several targets may end at once, and what comes often was at work on all of them. */
+    /** A frequent request runs on all of several targets that crash at once. */
     @Test
-    void testTargetsThatEndAtOnceCountAsOne() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.ended(HARMFUL, "b", 10);
-        quarantine.ended(HARMFUL, "c", 90);
+    void testSimultaneousCrashesCountAsOne() {
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.recordCrash(HARMFUL, "b", 10);
+        quarantine.recordCrash(HARMFUL, "c", 90);
         assertThat(quarantine.decide(1_200)).isEmpty();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        quarantine.heard(QuarantineWord.ended(HARMFUL, "b"), 1_250);
-        quarantine.heard(QuarantineWord.ended(HARMFUL, "c"), 1_250);
-        assertThat(quarantine.lives(HARMFUL)).containsExactly("a");
-        quarantine.ended(HARMFUL, "d", 1_300);
-        quarantine.ended(HARMFUL, "e", 1_700);
+        quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "b"), 1_250);
+        quarantine.applyUpdate(QuarantineUpdate.crash(HARMFUL, "c"), 1_250);
+        assertThat(quarantine.crashedIncarnations(HARMFUL)).containsExactly("a");
+        quarantine.recordCrash(HARMFUL, "d", 1_300);
+        quarantine.recordCrash(HARMFUL, "e", 1_700);
         assertThat(quarantine.decide(3_000)).containsExactly(HARMFUL);
     }
 
     @Test
-    void testTargetsThatEndLongAfterAnAnswerCountAgain() {
-        quarantine.ended(HARMFUL, "a", 0);
+    void testCrashesLongAfterCompletionCountAgain() {
+        quarantine.recordCrash(HARMFUL, "a", 0);
         quarantine.clear(HARMFUL, 0);
-        quarantine.ended(HARMFUL, "b", LATER_MILLIS);
-        quarantine.ended(HARMFUL, "c", LATER_MILLIS);
-        quarantine.ended(HARMFUL, "d", LATER_MILLIS + 500);
-        assertThat(quarantine.decide(2 * LATER_MILLIS)).containsExactly(HARMFUL);
+        quarantine.recordCrash(HARMFUL, "b", AFTER_CLEARING_MILLIS);
+        quarantine.recordCrash(HARMFUL, "c", AFTER_CLEARING_MILLIS);
+        quarantine.recordCrash(HARMFUL, "d", AFTER_CLEARING_MILLIS + 500);
+        assertThat(quarantine.decide(2 * AFTER_CLEARING_MILLIS)).containsExactly(HARMFUL);
     }
 
     @Test
-    void testWhatAnOperatorReleasesIsNotHeldBackByOldWords() {
+    void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
         quarantine.hold(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
-        assertThat(quarantine.heard(QuarantineWord.held(HARMFUL), 30_000)).isFalse();
+        assertThat(quarantine.applyUpdate(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineWord.cleared(HARMFUL));
+        assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
     }
 
     @Test
-    void testPeerThatKnowsNothingIsToldAll() {
+    void testSnapshotHoldsQuarantinedRequestsAndCrashes() {
         quarantine.hold(OTHER, 0);
-        quarantine.ended(HARMFUL, "a", 0);
-        assertThat(quarantine.all())
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        assertThat(quarantine.snapshot())
                 .containsExactlyInAnyOrder(
-                        QuarantineWord.held(OTHER), QuarantineWord.ended(HARMFUL, "a"));
+                        QuarantineUpdate.held(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
     }
 
-    /** A status query that was suspected once was told of for each of its answers. */
+    /** Guards against an update for every completion of a request that was suspected once. */
     @Test
-    void testAnswersOfWhatIsNotSuspectedAreNoNews() {
-        quarantine.ended(HARMFUL, "a", 0);
-        quarantine.takeNews(0);
+    void testCompletionOfAnUnsuspectedRequestQueuesNoUpdate() {
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        quarantine.takeUpdates(0);
         quarantine.clear(HARMFUL, 1);
-        assertThat(quarantine.takeNews(1)).containsExactly(QuarantineWord.cleared(HARMFUL));
+        assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
         quarantine.clear(HARMFUL, 2);
-        assertThat(quarantine.takeNews(2)).isEmpty();
+        assertThat(quarantine.takeUpdates(2)).isEmpty();
     }
 
     @Test
-    void testNewsIsToldThreeTimesSinceAReportMayBeLost() {
-        quarantine.ended(HARMFUL, "a", 0);
-        List<QuarantineWord> word = List.of(QuarantineWord.ended(HARMFUL, "a"));
-        assertThat(quarantine.takeNews(0)).isEqualTo(word);
-        assertThat(quarantine.takeNews(400)).isEmpty();
-        assertThat(quarantine.takeNews(600)).isEqualTo(word);
-        assertThat(quarantine.takeNews(2_100)).isEqualTo(word);
-        assertThat(quarantine.takeNews(9_000)).isEmpty();
+    void testUpdateIsSentThreeTimes() {
+        quarantine.recordCrash(HARMFUL, "a", 0);
+        List<QuarantineUpdate> update = List.of(QuarantineUpdate.crash(HARMFUL, "a"));
+        assertThat(quarantine.takeUpdates(0)).isEqualTo(update);
+        assertThat(quarantine.takeUpdates(400)).isEmpty();
+        assertThat(quarantine.takeUpdates(600)).isEqualTo(update);
+        assertThat(quarantine.takeUpdates(2_100)).isEqualTo(update);
+        assertThat(quarantine.takeUpdates(9_000)).isEmpty();
     }
 
     @Test
-    void testSuspectsAreForgottenBeforeWhatIsHeldBack() {
+    void testFreeRequestsAreEvictedBeforeQuarantinedOnes() {
         quarantine.hold(HARMFUL, 0);
         for (int other = 0; other < 10_000; other++) {
-            quarantine.ended(new Fingerprint(5, other), "a", 1);
+            quarantine.recordCrash(new Fingerprint(5, other), "a", 1);
         }
         assertThat(quarantine.size()).isLessThan(5_000);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
     }
 
     @Test
-    void testWhatIsHeldBackIsForgottenInTheEnd() {
+    void testQuarantineExpires() {
         quarantine.hold(HARMFUL, 0);
         quarantine.decide(Quarantine.HELD_MILLIS - 1);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
         quarantine.decide(Quarantine.HELD_MILLIS);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
-        assertThat(quarantine.knows(HARMFUL.scope())).isFalse();
+        assertThat(quarantine.tracksScope(HARMFUL.scope())).isFalse();
     }
 
     @Property(tries = 300, seed = "1")
-    void testOrderAndRepeatsOfWordsChangeNothing(
-            @ForAll @IntRange(min = 1, max = 5) int lives, @ForAll long seed) {
-        List<QuarantineWord> words = new ArrayList<>();
-        IntStream.range(0, lives)
-                .mapToObj(life -> QuarantineWord.ended(HARMFUL, "life-" + life))
-                .forEach(words::add);
-        words.addAll(List.copyOf(words));
-        Collections.shuffle(words, new Random(seed));
+    void testUpdatesAreIdempotentAndCommutative(
+            @ForAll @IntRange(min = 1, max = 5) int crashes, @ForAll long seed) {
+        List<QuarantineUpdate> updates = new ArrayList<>();
+        IntStream.range(0, crashes)
+                .mapToObj(index -> QuarantineUpdate.crash(HARMFUL, "incarnation-" + index))
+                .forEach(updates::add);
+        updates.addAll(List.copyOf(updates));
+        Collections.shuffle(updates, new Random(seed));
         Quarantine fresh = new Quarantine();
         long now = 0;
-        for (QuarantineWord each : words) {
-            fresh.heard(each, now);
+        for (QuarantineUpdate each : updates) {
+            fresh.applyUpdate(each, now);
             now += 400;
         }
-        assertThat(fresh.decide(now + LATER_MILLIS)).hasSize(lives >= 3 ? 1 : 0);
-        assertThat(fresh.held()).isEqualTo(lives >= 3 ? 1 : 0);
+        assertThat(fresh.decide(now + AFTER_CLEARING_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
+        assertThat(fresh.held()).isEqualTo(crashes >= 3 ? 1 : 0);
     }
 }
