--- a/src/main/java/org/martenwell/directory/DirectoryTarget.java
+++ b/src/main/java/org/martenwell/directory/DirectoryTarget.java
@@ -36,7 +36,7 @@
      * @return The id and the start time, such as {@code i-7f3a91c2@lxk3f9a0}, or only the id if the
      *     start time is unknown.
      */
-    public String life() {
+    public String incarnation() {
         return bornMillis.isPresent()
                 ? id + "@" + Long.toString(bornMillis.getAsLong(), START_RADIX)
                 : id;
--- a/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
+++ b/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
@@ -43,7 +43,7 @@
             }
         }
         if (!addedKeys.isEmpty()) {
-            core.queueCacheUpdate(load.target().life(), chain);
+            core.queueCacheUpdate(load.target().incarnation(), chain);
         }
         load.promptCache().put(chain, core.promptCacheCapacity(load));
         return new AssumedCacheEntries(core, load, addedKeys);
@@ -53,7 +53,7 @@
     void rollBack() {
         for (long key : addedKeys) {
             if (load.promptCache().evict(key)) {
-                core.queueCacheUpdate(new CachedPartUpdate(load.target().life(), key, 0));
+                core.queueCacheUpdate(new CachedPartUpdate(load.target().incarnation(), key, 0));
             }
         }
     }
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -65,7 +65,7 @@
      * @return {@code true} if both are the same process.
      */
     boolean follows(KnownTarget other) {
-        return target.load().target().life().equals(other.load().target().life());
+        return target.load().target().incarnation().equals(other.load().target().incarnation());
     }
 
     /** Stops polling and closes the connection. */
@@ -121,7 +121,7 @@
             return;
         }
         core.log().cacheEntryCorrected(tokens > 0);
-        core.queueCacheUpdate(new CachedPartUpdate(target.load().target().life(), key, tokens));
+        core.queueCacheUpdate(new CachedPartUpdate(target.load().target().incarnation(), key, tokens));
         if (tokens > 0) {
             memory.put(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -104,7 +104,7 @@
         if (reply.status() != OK) {
             return;
         }
-        String incarnation = target.load().target().life();
+        String incarnation = target.load().target().incarnation();
         for (CachedPart each : core.dialect().keptParts(reply.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -104,7 +104,7 @@
     private List<CachedPartUpdate> cached() {
         List<CachedPartUpdate> cached = new ArrayList<>();
         for (KnownTarget each : core.targets().all()) {
-            String target = each.load().target().life();
+            String target = each.load().target().incarnation();
             each.load()
                     .promptCache()
                     .sizes()
@@ -123,7 +123,7 @@
         for (KnownTarget each : core.targets().all()) {
             LoadSums own = each.load().own();
             if (own.requests() > 0) {
-                loads.add(new TargetLoadReport(each.load().target().life(), own));
+                loads.add(new TargetLoadReport(each.load().target().incarnation(), own));
             }
         }
         return loads;
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -455,7 +455,7 @@
         core.log()
                 .sentAttemptFailed(
                         requestId(),
-                        from.target().load().target().life(),
+                        from.target().load().target().incarnation(),
                         failure.name(),
                         identity.fingerprint());
         from.target().load().health().failed(core.now());
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -186,6 +186,6 @@
     }
 
     private static String incarnationOf(KnownTarget target) {
-        return target.load().target().life();
+        return target.load().target().incarnation();
     }
 }
--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -63,10 +63,10 @@
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
         if (notice.leaving() && availability.markDraining(NoticeSource.ANSWER, now)) {
-            leaves(target.target().life(), NoticeSource.ANSWER);
+            leaves(target.target().incarnation(), NoticeSource.ANSWER);
         }
         if (notice.restMillis() > 0 && availability.pause(notice.restMillis(), now)) {
-            log.pauseRequested(target.target().life(), notice.restMillis());
+            log.pauseRequested(target.target().incarnation(), notice.restMillis());
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -90,7 +90,7 @@
      * @param entry The target's entry in the directory.
      */
     private void updateTarget(DirectoryTarget entry) {
-        KnownTarget current = targetsByIncarnation.get(entry.life());
+        KnownTarget current = targetsByIncarnation.get(entry.incarnation());
         if (current != null && current.load().target().address().equals(entry.address())) {
             current.load().target(entry);
             noteLeaving(current.load());
@@ -102,7 +102,7 @@
         findByAddress(entry.address()).ifPresent(listener::crashed);
         KnownTarget created = create(entry);
         targets.put(entry.id(), created);
-        targetsByIncarnation.put(entry.life(), created);
+        targetsByIncarnation.put(entry.incarnation(), created);
         noteLeaving(created.load());
     }
 
@@ -113,7 +113,7 @@
      */
     private void noteLeaving(TargetLoad load) {
         if (load.target().leaving()) {
-            markLeaving(load.target().life(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
+            markLeaving(load.target().incarnation(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
         }
     }
 
@@ -150,7 +150,7 @@
      */
     private void removeTarget(String id) {
         KnownTarget gone = targets.remove(id);
-        targetsByIncarnation.remove(gone.load().target().life());
+        targetsByIncarnation.remove(gone.load().target().incarnation());
         if (!gone.load().availability().isDraining()) {
             listener.crashed(gone);
         }
@@ -194,7 +194,7 @@
             DirectoryTarget target = each.load().target();
             boolean unconfirmed = availability.isDraining() && !target.leaving();
             if (unconfirmed && now - availability.drainingSinceMillis() >= DIRECTORY_LAG_MILLIS) {
-                stale |= refreshed.add(target.life());
+                stale |= refreshed.add(target.incarnation());
             }
         }
         return stale;
@@ -205,7 +205,7 @@
         List<String> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
             if (each.load().availability().isDraining()) {
-                found.add(each.load().target().life());
+                found.add(each.load().target().incarnation());
             }
         }
         return found;
@@ -314,7 +314,7 @@
      * @return The target.
      */
     private KnownTarget create(DirectoryTarget entry) {
-        TargetLoad load = new TargetLoad(entry, availabilities.of(entry.life()));
+        TargetLoad load = new TargetLoad(entry, availabilities.of(entry.incarnation()));
         return new KnownTarget(
                 load,
                 new TargetConnections(
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -83,7 +83,7 @@
     private void publish(DirectoryTarget target) {
         directory.put(target.id(), target);
         if (target.leaving()) {
-            draining.add(target.life());
+            draining.add(target.incarnation());
         }
         update();
     }
@@ -95,7 +95,7 @@
 
     private void update() {
         table.update(Map.copyOf(directory));
-        table.all().forEach(each -> everKnown.put(each.load().target().life(), each.load()));
+        table.all().forEach(each -> everKnown.put(each.load().target().incarnation(), each.load()));
     }
 
     /** Applies a notice of a present or former incarnation. */
@@ -117,16 +117,16 @@
 
     private Set<String> open() {
         Set<String> open = new HashSet<>();
-        table.open("service", List.of(), now).forEach(each -> open.add(each.target().life()));
+        table.open("service", List.of(), now).forEach(each -> open.add(each.target().incarnation()));
         return open;
     }
 
     private Set<String> expected() {
         Set<String> expected = new HashSet<>();
         for (DirectoryTarget each : directory.values()) {
-            boolean paused = now < pausedUntil.getOrDefault(each.life(), 0L);
-            if (!draining.contains(each.life()) && !paused) {
-                expected.add(each.life());
+            boolean paused = now < pausedUntil.getOrDefault(each.incarnation(), 0L);
+            if (!draining.contains(each.incarnation()) && !paused) {
+                expected.add(each.incarnation());
             }
         }
         return expected;
--- a/src/test/java/org/martenwell/gateway/TargetEndListener.java
+++ b/src/test/java/org/martenwell/gateway/TargetEndListener.java
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public void leaves(String life, NoticeSource source) {}
+    public void leaves(String incarnation, NoticeSource source) {}
 
     @Override
     public void answered(TargetLoad target, HttpResponse head) {}
--- a/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -141,7 +141,7 @@
                 current = born;
                 updateDirectory(target(born, false));
             } else {
-                receiver.apply(report(target(born, false).life(), true));
+                receiver.apply(report(target(born, false).incarnation(), true));
                 // A report is complete: targets that it omits have no load.
                 loaded = born == current;
                 cached |= born == current;
@@ -154,7 +154,7 @@
     }
 
     private String incarnation() {
-        return load().target().life();
+        return load().target().incarnation();
     }
 
     private TargetLoad load() {
