--- a/src/main/java/org/martenwell/directory/DirectoryTarget.java
+++ b/src/main/java/org/martenwell/directory/DirectoryTarget.java
@@ -9,7 +9,7 @@
  * incarnation.
  *
  * @param id The target's id.
- * @param bornMillis The start time of the target's process by its own clock, in milliseconds since
+ * @param startMillis The start time of the target's process by its own clock, in milliseconds since
  *     the epoch; empty in deployments whose targets don't publish it.
  * @param service The name of the service that the target belongs to.
  * @param address The address that accepts requests.
@@ -19,7 +19,7 @@
  */
 public record DirectoryTarget(
         String id,
-        OptionalLong bornMillis,
+        OptionalLong startMillis,
         String service,
         InetSocketAddress address,
         String failureDomain,
@@ -37,8 +37,8 @@
      *     start time is unknown.
      */
     public String incarnation() {
-        return bornMillis.isPresent()
-                ? id + "@" + Long.toString(bornMillis.getAsLong(), START_RADIX)
+        return startMillis.isPresent()
+                ? id + "@" + Long.toString(startMillis.getAsLong(), START_RADIX)
                 : id;
     }
 }
--- a/src/main/java/org/martenwell/directory/TargetsWithoutStart.java
+++ b/src/main/java/org/martenwell/directory/TargetsWithoutStart.java
@@ -20,7 +20,7 @@
      */
     static List<DirectoryTarget> of(Collection<DirectoryTarget> targets) {
         List<DirectoryTarget> withoutStart =
-                targets.stream().filter(each -> each.bornMillis().isEmpty()).toList();
+                targets.stream().filter(each -> each.startMillis().isEmpty()).toList();
         return 2 * withoutStart.size() < targets.size() ? withoutStart : List.of();
     }
 }
--- a/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
+++ b/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
@@ -28,7 +28,7 @@
         assertThat(TargetsWithoutStart.of(List.of())).isEmpty();
     }
 
-    private static DirectoryTarget target(String id, OptionalLong bornMillis) {
-        return new DirectoryTarget(id, bornMillis, "s", IpAddress.of("127.0.0.1:1"), "z", 1, false);
+    private static DirectoryTarget target(String id, OptionalLong startMillis) {
+        return new DirectoryTarget(id, startMillis, "s", IpAddress.of("127.0.0.1:1"), "z", 1, false);
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -96,7 +96,7 @@
         updateDirectory(
                 new DirectoryTarget(
                         entry.id(),
-                        entry.bornMillis(),
+                        entry.startMillis(),
                         entry.service(),
                         IpAddress.of("127.0.0.1:2"),
                         entry.failureDomain(),
@@ -178,10 +178,10 @@
                 List.of());
     }
 
-    private static DirectoryTarget target(long bornMillis, boolean leaving) {
+    private static DirectoryTarget target(long startMillis, boolean leaving) {
         return new DirectoryTarget(
                 "t",
-                OptionalLong.of(bornMillis),
+                OptionalLong.of(startMillis),
                 GatewayCores.SERVICE,
                 IpAddress.of("127.0.0.1:1"),
                 "x",
