--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -44,7 +44,7 @@
 import org.martenwell.once.ClaimLedger;
 import org.martenwell.operator.OperatedRouter;
 import org.martenwell.operator.OperatorServlet;
-import org.martenwell.peer.ConfigurationAnswer;
+import org.martenwell.peer.ConfigurationResponse;
 import org.martenwell.peer.ConfigurationRequest;
 import org.martenwell.peer.PeerListener;
 import org.martenwell.peer.PeerNetwork;
@@ -278,9 +278,9 @@
     }
 
     @Override
-    public Optional<ConfigurationAnswer> configuration() {
+    public Optional<ConfigurationResponse> configuration() {
         return store.active()
-                .map(active -> new ConfigurationAnswer(active.version(), store.text()));
+                .map(active -> new ConfigurationResponse(active.version(), store.text()));
     }
 
     /**
@@ -332,9 +332,9 @@
         } else if (message instanceof ConfigurationRequest request) {
             if (store.version() > request.above()) {
                 network.send(
-                        request.router(), new ConfigurationAnswer(store.version(), store.text()));
+                        request.router(), new ConfigurationResponse(store.version(), store.text()));
             }
-        } else if (message instanceof ConfigurationAnswer answer) {
+        } else if (message instanceof ConfigurationResponse answer) {
             store.offer(answer.version(), answer.text());
         }
     }
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -11,7 +11,7 @@
 import org.martenwell.directory.GatewayMember;
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.message.PeerMessage;
-import org.martenwell.peer.ConfigurationAnswer;
+import org.martenwell.peer.ConfigurationResponse;
 import org.martenwell.peer.ConfigurationRequest;
 import org.martenwell.peer.PeerListener;
 import org.martenwell.peer.PeerNetwork;
@@ -174,9 +174,9 @@
             receiveBatch(batch);
         } else if (message instanceof ConfigurationRequest request) {
             if (core.version() > request.above()) {
-                network.send(request.router(), new ConfigurationAnswer(core.version(), document));
+                network.send(request.router(), new ConfigurationResponse(core.version(), document));
             }
-        } else if (message instanceof ConfigurationAnswer answer) {
+        } else if (message instanceof ConfigurationResponse answer) {
             if (answer.version() > core.version()) {
                 directory.passedOn(answer.text());
             }
--- a/src/main/java/org/martenwell/operator/OperatedRouter.java
+++ b/src/main/java/org/martenwell/operator/OperatedRouter.java
@@ -2,7 +2,7 @@
 
 import io.activej.promise.Promise;
 import java.util.Optional;
-import org.martenwell.peer.ConfigurationAnswer;
+import org.martenwell.peer.ConfigurationResponse;
 import org.martenwell.router.DrainReport;
 import org.martenwell.router.RouterMetrics;
 import org.martenwell.router.RouterStatus;
@@ -36,7 +36,7 @@
      *
      * @return The configuration or empty if none is in force.
      */
-    Optional<ConfigurationAnswer> configuration();
+    Optional<ConfigurationResponse> configuration();
 
     /**
      * Stops taking requests and waits for those that run: first the router says that it is not
--- a/src/main/java/org/martenwell/peer/ConfigurationAnswer.java
+++ b/src/main/java/org/martenwell/peer/ConfigurationResponse.java
@@ -8,4 +8,4 @@
  * @param version The configuration's version.
  * @param text The configuration as stored, in JSON.
  */
-public record ConfigurationAnswer(long version, String text) implements PeerMessage {}
+public record ConfigurationResponse(long version, String text) implements PeerMessage {}
--- a/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
@@ -76,7 +76,7 @@
      * @param writer Receives the fields.
      * @throws IOException Never; the buffer is in memory.
      */
-    static void write(ConfigurationAnswer message, FieldWriter writer) throws IOException {
+    static void write(ConfigurationResponse message, FieldWriter writer) throws IOException {
         writer.number(message.version());
         writer.text(message.text());
     }
@@ -88,8 +88,8 @@
      * @return The response.
      * @throws IOException If the payload ends early.
      */
-    static ConfigurationAnswer readConfigurationResponse(FieldReader reader) throws IOException {
-        return new ConfigurationAnswer(reader.number(), reader.text());
+    static ConfigurationResponse readConfigurationResponse(FieldReader reader) throws IOException {
+        return new ConfigurationResponse(reader.number(), reader.text());
     }
 
     /**
--- a/src/main/java/org/martenwell/peer/MessageType.java
+++ b/src/main/java/org/martenwell/peer/MessageType.java
@@ -83,10 +83,10 @@
     },
 
     /** Response with a configuration. */
-    CONFIGURATION_ANSWER(6, ConfigurationAnswer.class) {
+    CONFIGURATION_ANSWER(6, ConfigurationResponse.class) {
         @Override
         void write(PeerMessage message, FieldWriter writer) throws IOException {
-            MembershipMessageCodec.write((ConfigurationAnswer) message, writer);
+            MembershipMessageCodec.write((ConfigurationResponse) message, writer);
         }
 
         @Override
--- a/src/test/java/org/martenwell/peer/MessageCodecTest.java
+++ b/src/test/java/org/martenwell/peer/MessageCodecTest.java
@@ -136,7 +136,7 @@
                 Combinators.combine(names, numbers, numbers, flags, grants.list().ofMaxSize(4))
                         .as(SlotGrants::new);
         Arbitrary<PeerMessage> configurationResponses =
-                Combinators.combine(numbers, names).as(ConfigurationAnswer::new);
+                Combinators.combine(numbers, names).as(ConfigurationResponse::new);
         Arbitrary<PeerMessage> notices = Combinators.combine(names, flags).as(TargetNotice::new);
         Arbitrary<LoadSums> loadSums =
                 Combinators.combine(counts, numbers, numbers).as(LoadSums::new);
