--- a/src/main/java/org/martenwell/directory/FleetDirectory.java
+++ b/src/main/java/org/martenwell/directory/FleetDirectory.java
@@ -15,7 +15,7 @@
      *
      * @param document The configuration as JSON.
      */
-    void passedOn(String document);
+    void applyForwardedConfiguration(String document);
 
     /** Lists the targets immediately; called when a peer has newer information on them. */
     void refresh();
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public void passedOn(String document) {
+    public void applyForwardedConfiguration(String document) {
         applyConfiguration(Json.read(document.getBytes(StandardCharsets.UTF_8)));
     }
 
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -178,7 +178,7 @@
             }
         } else if (message instanceof ConfigurationResponse answer) {
             if (answer.version() > core.version()) {
-                directory.passedOn(answer.text());
+                directory.applyForwardedConfiguration(answer.text());
             }
         }
     }
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -140,7 +140,7 @@
         }
 
         @Override
-        public void passedOn(String document) {}
+        public void applyForwardedConfiguration(String document) {}
 
         @Override
         public void refresh() {}
