--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -330,7 +330,7 @@
         } else if (message instanceof TargetNotice notice) {
             monitor.received(notice);
         } else if (message instanceof ConfigurationRequest request) {
-            if (store.version() > request.above()) {
+            if (store.version() > request.newerThan()) {
                 network.send(
                         request.router(), new ConfigurationResponse(store.version(), store.text()));
             }
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -173,7 +173,7 @@
         } else if (message instanceof ReportBatch batch) {
             receiveBatch(batch);
         } else if (message instanceof ConfigurationRequest request) {
-            if (core.version() > request.above()) {
+            if (core.version() > request.newerThan()) {
                 network.send(request.router(), new ConfigurationResponse(core.version(), document));
             }
         } else if (message instanceof ConfigurationResponse answer) {
--- a/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
@@ -55,7 +55,7 @@
      */
     static void write(ConfigurationRequest message, FieldWriter writer) throws IOException {
         writer.name(message.router());
-        writer.number(message.above());
+        writer.number(message.newerThan());
     }
 
     /**
