--- a/src/main/java/org/martenwell/directory/DirectoryTarget.java
+++ b/src/main/java/org/martenwell/directory/DirectoryTarget.java
@@ -15,7 +15,7 @@
  * @param address The address that accepts requests.
  * @param failureDomain The target's failure domain.
  * @param slots The number of requests that the target runs concurrently.
- * @param leaving {@code true} if the target is draining and accepts no new requests.
+ * @param draining {@code true} if the target is draining and accepts no new requests.
  */
 public record DirectoryTarget(
         String id,
@@ -24,7 +24,7 @@
         InetSocketAddress address,
         String failureDomain,
         int slots,
-        boolean leaving) {
+        boolean draining) {
 
     /** The radix of the start time in an incarnation. */
     private static final int START_RADIX = 36;
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -180,7 +180,7 @@
      * @return The engines that the request may not use and those that are draining.
      */
     private List<TargetLoad> copySources(List<TargetLoad> open, List<TargetLoad> allowed) {
-        List<TargetLoad> sources = new ArrayList<>(core.targets().leaving(service));
+        List<TargetLoad> sources = new ArrayList<>(core.targets().draining(service));
         if (allowed.size() < open.size()) {
             open.stream().filter(each -> !allowed.contains(each)).forEach(sources::add);
         }
@@ -280,7 +280,7 @@
      */
     private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> open) {
         PromptCacheLookup cacheLookup =
-                PromptCacheLookup.of(demand.chain(), open, core.targets().leaving(service));
+                PromptCacheLookup.of(demand.chain(), open, core.targets().draining(service));
         Optional<TargetLoad> source =
                 engine.canCopyCache() ? cacheLookup.source(load) : Optional.empty();
         long cachedTokens =
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -96,7 +96,7 @@
                 loads(),
                 shares,
                 placed,
-                core.targets().leaving(),
+                core.targets().draining(),
                 quarantine);
     }
 
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -112,7 +112,7 @@
      * @param load The target.
      */
     private void noteLeaving(TargetLoad load) {
-        if (load.target().leaving()) {
+        if (load.target().draining()) {
             markLeaving(load.target().incarnation(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
         }
     }
@@ -192,7 +192,7 @@
         for (KnownTarget each : targets.values()) {
             Availability availability = each.load().availability();
             DirectoryTarget target = each.load().target();
-            boolean unconfirmed = availability.isDraining() && !target.leaving();
+            boolean unconfirmed = availability.isDraining() && !target.draining();
             if (unconfirmed && now - availability.drainingSinceMillis() >= DIRECTORY_LAG_MILLIS) {
                 stale |= refreshed.add(target.incarnation());
             }
@@ -201,7 +201,7 @@
     }
 
     /** {@return the incarnations of all targets that are draining} */
-    List<String> leaving() {
+    List<String> draining() {
         List<String> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
             if (each.load().availability().isDraining()) {
@@ -256,7 +256,7 @@
      * @param service The name of the service.
      * @return The loads of these targets.
      */
-    List<TargetLoad> leaving(String service) {
+    List<TargetLoad> draining(String service) {
         List<TargetLoad> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
             boolean leaves = each.load().availability().isDraining();
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -82,7 +82,7 @@
 
     private void publish(DirectoryTarget target) {
         directory.put(target.id(), target);
-        if (target.leaving()) {
+        if (target.draining()) {
             draining.add(target.incarnation());
         }
         update();
@@ -132,7 +132,7 @@
         return expected;
     }
 
-    private static DirectoryTarget target(String id, long startMillis, boolean leaving) {
+    private static DirectoryTarget target(String id, long startMillis, boolean draining) {
         return new DirectoryTarget(
                 id,
                 OptionalLong.of(startMillis),
@@ -140,6 +140,6 @@
                 IpAddress.of("127.0.0.1:1"),
                 "zone",
                 1,
-                leaving);
+                draining);
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -132,7 +132,7 @@
         run(() -> table.update(all));
     }
 
-    private DirectoryTarget target(String id, long startMillis, boolean leaving) {
+    private DirectoryTarget target(String id, long startMillis, boolean draining) {
         return new DirectoryTarget(
                 id,
                 OptionalLong.of(startMillis),
@@ -140,7 +140,7 @@
                 IpAddress.of(address),
                 "x",
                 4,
-                leaving);
+                draining);
     }
 
     private void run(Runnable action) {
--- a/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -78,7 +78,7 @@
         receiver.apply(report(former, true));
         assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().promptCache().isEmpty()).isTrue();
-        assertThat(core.targets().leaving()).isEmpty();
+        assertThat(core.targets().draining()).isEmpty();
     }
 
     @Test
@@ -101,7 +101,7 @@
                         IpAddress.of("127.0.0.1:2"),
                         entry.failureDomain(),
                         entry.slots(),
-                        entry.leaving()));
+                        entry.draining()));
         assertThat(core.targets().find("t").orElseThrow().connections())
                 .isNotSameAs(former.connections());
     }
@@ -132,7 +132,7 @@
         long current = first;
         boolean loaded = false;
         boolean cached = false;
-        Set<Long> leaving = new HashSet<>();
+        Set<Long> draining = new HashSet<>();
         for (int step : steps) {
             long born = first + step % 4;
             if (step < 4) {
@@ -145,11 +145,11 @@
                 // A report is complete: targets that it omits have no load.
                 loaded = born == current;
                 cached |= born == current;
-                leaving.add(born);
+                draining.add(born);
             }
             assertThat(load().all(1).requests()).isEqualTo(loaded ? 1 : 0);
             assertThat(load().promptCache().isEmpty()).isEqualTo(!cached);
-            assertThat(core.targets().leaving()).hasSize(leaving.contains(current) ? 1 : 0);
+            assertThat(core.targets().draining()).hasSize(draining.contains(current) ? 1 : 0);
         }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /** Builds a peer's report of a request at a target that caches a part. */
-    private static GatewayReport report(String incarnation, boolean leaving) {
+    private static GatewayReport report(String incarnation, boolean draining) {
         return new GatewayReport(
                 PEER,
                 1,
@@ -174,11 +174,11 @@
                 List.of(new TargetLoadReport(incarnation, new LoadSums(1, 5, 7))),
                 ShareCounts.NONE,
                 List.of(new CachedPartUpdate(incarnation, PART, 100)),
-                leaving ? List.of(incarnation) : List.of(),
+                draining ? List.of(incarnation) : List.of(),
                 List.of());
     }
 
-    private static DirectoryTarget target(long startMillis, boolean leaving) {
+    private static DirectoryTarget target(long startMillis, boolean draining) {
         return new DirectoryTarget(
                 "t",
                 OptionalLong.of(startMillis),
@@ -186,6 +186,6 @@
                 IpAddress.of("127.0.0.1:1"),
                 "x",
                 4,
-                leaving);
+                draining);
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetTableTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetTableTest.java
@@ -36,7 +36,7 @@
         assertThat(table.open("service", List.of(), 0))
                 .extracting(load -> load.target().id())
                 .containsExactly("two");
-        assertThat(table.leaving()).containsExactly("one@1");
+        assertThat(table.draining()).containsExactly("one@1");
     }
 
     @Test
@@ -58,7 +58,7 @@
     void testRemovedTargetIsNotDraining() {
         table.update(Map.of("two", target("two", false)));
         assertThat(table.detectStaleDirectory(LAG_MILLIS)).isFalse();
-        assertThat(table.leaving()).isEmpty();
+        assertThat(table.draining()).isEmpty();
     }
 
     /**
@@ -72,11 +72,11 @@
         }
         table.update(Map.of("one", target("one", false), "two", target("two", true)));
         assertThat(table.open("service", List.of(), 0)).isEmpty();
-        assertThat(table.leaving()).containsExactlyInAnyOrder("one@1", "two@1");
+        assertThat(table.draining()).containsExactlyInAnyOrder("one@1", "two@1");
     }
 
-    private static DirectoryTarget target(String id, boolean leaving) {
+    private static DirectoryTarget target(String id, boolean draining) {
         return new DirectoryTarget(
-                id, OptionalLong.of(1), "service", IpAddress.of("127.0.0.1:1"), "zone", 1, leaving);
+                id, OptionalLong.of(1), "service", IpAddress.of("127.0.0.1:1"), "zone", 1, draining);
     }
 }
