--- a/src/main/java/org/martenwell/directory/EntryChanges.java
+++ b/src/main/java/org/martenwell/directory/EntryChanges.java
@@ -13,5 +13,5 @@
 public record EntryChanges(List<EntryChange> changes, long revision, boolean historyLost) {
 
     /** The result of a watch whose starting revision is no longer in the store's history. */
-    public static final EntryChanges LOST = new EntryChanges(List.of(), 0, true);
+    public static final EntryChanges HISTORY_LOST = new EntryChanges(List.of(), 0, true);
 }
