--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -357,7 +357,7 @@
                             .with("incarnation", heartbeat.incarnation())
                             .with("ready", heartbeat.ready())
                             .message());
-            network.peers(membership.addresses());
+            network.setPeers(membership.addresses());
             reassign();
         }
     }
@@ -414,7 +414,7 @@
      * @param addresses Their addresses.
      */
     private void seed(List<String> addresses) {
-        network.peers(
+        network.setPeers(
                 addresses.stream()
                         .filter(address -> !address.equals(settings.peerAddress()))
                         .collect(Collectors.toMap(address -> address, address -> address)));
@@ -463,7 +463,7 @@
      */
     private void listed(List<Box> boxes) {
         membership.replaceListedRouters(boxes);
-        network.peers(membership.addresses());
+        network.setPeers(membership.addresses());
         monitor.listed(
                 boxes.stream()
                         .filter(box -> box.role() == BoxRole.TARGET)
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -149,7 +149,7 @@
     private void connect() {
         Map<String, String> needed = new HashMap<>(addresses);
         needed.keySet().retainAll(topology.requiredPeers(core.now()));
-        network.peers(needed);
+        network.setPeers(needed);
     }
 
     /** {@return the peers that reported recently} */
--- a/src/main/java/org/martenwell/peer/PeerNetwork.java
+++ b/src/main/java/org/martenwell/peer/PeerNetwork.java
@@ -67,7 +67,7 @@
      *
      * @param addresses The peers' addresses by name.
      */
-    public void peers(Map<String, String> addresses) {
+    public void setPeers(Map<String, String> addresses) {
         for (String name : Map.copyOf(connections).keySet()) {
             if (!addresses.containsKey(name)
                     || !connections.get(name).address().equals(addresses.get(name))) {
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -37,7 +37,7 @@
     @Test
     void testConnectionWithoutKeepAlivesIsReopened() throws IOException {
         try (SilentPeer peer = new SilentPeer(new byte[FrameCodec.NONCE_BYTES])) {
-            thread.loop().execute(() -> network.peers(Map.of("p", peer.address())));
+            thread.loop().execute(() -> network.setPeers(Map.of("p", peer.address())));
             Conditions.await(() -> peer.connections() > 1);
         }
     }
@@ -45,7 +45,7 @@
     @Test
     void testConnectionWithoutNonceIsReopened() throws IOException {
         try (SilentPeer peer = new SilentPeer(new byte[0])) {
-            thread.loop().execute(() -> network.peers(Map.of("p", peer.address())));
+            thread.loop().execute(() -> network.setPeers(Map.of("p", peer.address())));
             Conditions.await(() -> peer.connections() > 1);
         }
     }
