--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -14,7 +14,7 @@
      * @param configuration The parsed configuration.
      * @param document The JSON document it was parsed from, to be forwarded to peers.
      */
-    void configured(GatewayConfiguration configuration, String document);
+    void configurationChanged(GatewayConfiguration configuration, String document);
 
     /**
      * Called once per version of an entry that can't be parsed. The entry is ignored; all other
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -275,7 +275,7 @@
         }
         if (configuration.version() > version) {
             version = configuration.version();
-            listener.configured(
+            listener.configurationChanged(
                     configuration, new String(Json.write(document), StandardCharsets.UTF_8));
         }
     }
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void configured(GatewayConfiguration configuration, String document) {
+    public void configurationChanged(GatewayConfiguration configuration, String document) {
         log.changed("configuration", configuration.version());
         core.configure(configuration);
         callers.limit(configuration.limits());
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -169,7 +169,7 @@
         private final List<String> unreadable = new ArrayList<>();
 
         @Override
-        public void configured(GatewayConfiguration configuration, String document) {}
+        public void configurationChanged(GatewayConfiguration configuration, String document) {}
 
         @Override
         public void unreadable(String name, String reason) {
