--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -121,7 +121,8 @@
             return;
         }
         core.log().cacheEntryCorrected(tokens > 0);
-        core.queueCacheUpdate(new CachedPartUpdate(target.load().target().incarnation(), key, tokens));
+        core.queueCacheUpdate(
+                new CachedPartUpdate(target.load().target().incarnation(), key, tokens));
         if (tokens > 0) {
             memory.put(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -113,7 +113,10 @@
      */
     private void noteLeaving(TargetLoad load) {
         if (load.target().draining()) {
-            markLeaving(load.target().incarnation(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
+            markLeaving(
+                    load.target().incarnation(),
+                    NoticeSource.DIRECTORY,
+                    reactor.currentTimeMillis());
         }
     }
 
--- a/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
+++ b/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
@@ -29,6 +29,7 @@
     }
 
     private static DirectoryTarget target(String id, OptionalLong startMillis) {
-        return new DirectoryTarget(id, startMillis, "s", IpAddress.of("127.0.0.1:1"), "z", 1, false);
+        return new DirectoryTarget(
+                id, startMillis, "s", IpAddress.of("127.0.0.1:1"), "z", 1, false);
     }
 }
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -117,7 +117,8 @@
 
     private Set<String> open() {
         Set<String> open = new HashSet<>();
-        table.open("service", List.of(), now).forEach(each -> open.add(each.target().incarnation()));
+        table.open("service", List.of(), now)
+                .forEach(each -> open.add(each.target().incarnation()));
         return open;
     }
 
--- a/src/test/java/org/martenwell/gateway/TargetTableTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetTableTest.java
@@ -77,6 +77,12 @@
 
     private static DirectoryTarget target(String id, boolean draining) {
         return new DirectoryTarget(
-                id, OptionalLong.of(1), "service", IpAddress.of("127.0.0.1:1"), "zone", 1, draining);
+                id,
+                OptionalLong.of(1),
+                "service",
+                IpAddress.of("127.0.0.1:1"),
+                "zone",
+                1,
+                draining);
     }
 }
