--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -90,7 +90,7 @@
      * @param entry The target's entry in the directory.
      */
     private void updateTarget(DirectoryTarget entry) {
-        KnownTarget current = targetsByIncarnation.get(entry.life());
+        KnownTarget current = targetsByIncarnation.get(entry.incarnation());
         if (current != null && current.load().target().address().equals(entry.address())) {
             current.load().target(entry);
             noteLeaving(current.load());
@@ -102,7 +102,7 @@
         findByAddress(entry.address()).ifPresent(listener::crashed);
         KnownTarget created = create(entry);
         targets.put(entry.id(), created);
-        targetsByIncarnation.put(entry.life(), created);
+        targetsByIncarnation.put(entry.incarnation(), created);
         noteLeaving(created.load());
     }
 
@@ -112,8 +112,11 @@
      * @param load The target.
      */
     private void noteLeaving(TargetLoad load) {
-        if (load.target().leaving()) {
-            markLeaving(load.target().life(), NoticeSource.DIRECTORY, reactor.currentTimeMillis());
+        if (load.target().draining()) {
+            markLeaving(
+                    load.target().incarnation(),
+                    NoticeSource.DIRECTORY,
+                    reactor.currentTimeMillis());
         }
     }
 
@@ -150,7 +153,7 @@
      */
     private void removeTarget(String id) {
         KnownTarget gone = targets.remove(id);
-        targetsByIncarnation.remove(gone.load().target().life());
+        targetsByIncarnation.remove(gone.load().target().incarnation());
         if (!gone.load().availability().isDraining()) {
             listener.crashed(gone);
         }
@@ -192,20 +195,20 @@
         for (KnownTarget each : targets.values()) {
             Availability availability = each.load().availability();
             DirectoryTarget target = each.load().target();
-            boolean unconfirmed = availability.isDraining() && !target.leaving();
+            boolean unconfirmed = availability.isDraining() && !target.draining();
             if (unconfirmed && now - availability.drainingSinceMillis() >= DIRECTORY_LAG_MILLIS) {
-                stale |= refreshed.add(target.life());
+                stale |= refreshed.add(target.incarnation());
             }
         }
         return stale;
     }
 
     /** {@return the incarnations of all targets that are draining} */
-    List<String> leaving() {
+    List<String> draining() {
         List<String> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
             if (each.load().availability().isDraining()) {
-                found.add(each.load().target().life());
+                found.add(each.load().target().incarnation());
             }
         }
         return found;
@@ -256,7 +259,7 @@
      * @param service The name of the service.
      * @return The loads of these targets.
      */
-    List<TargetLoad> leaving(String service) {
+    List<TargetLoad> draining(String service) {
         List<TargetLoad> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
             boolean leaves = each.load().availability().isDraining();
@@ -314,7 +317,7 @@
      * @return The target.
      */
     private KnownTarget create(DirectoryTarget entry) {
-        TargetLoad load = new TargetLoad(entry, availabilities.of(entry.life()));
+        TargetLoad load = new TargetLoad(entry, availabilities.of(entry.incarnation()));
         return new KnownTarget(
                 load,
                 new TargetConnections(
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -29,9 +29,9 @@
 
     private static final Fingerprint HARMFUL = new Fingerprint(1, 2);
 
-    private final Objects store = new Objects();
+    private final InMemoryStore store = new InMemoryStore();
 
-    private final Told told = new Told();
+    private final RecordingListener listener = new RecordingListener();
 
     private long nowMillis = 1;
 
@@ -44,56 +44,56 @@
                     store,
                     "kind",
                     new Random(1),
-                    told,
+                    listener,
                     Clock.fixed(Instant.ofEpochMilli(NOW_MILLIS), ZoneOffset.UTC));
 
     @Test
-    void testRequestIsReadAsItWasWritten() {
+    void testWrittenRequestIsRead() {
         HeldRequest request = request(NOW_MILLIS);
         requests.hold(request);
         start();
-        assertThat(told.requests).containsExactly(Map.entry(HARMFUL, request));
+        assertThat(listener.requests).containsExactly(Map.entry(HARMFUL, request));
     }
 
     @Test
-    void testRequestIsWrittenAgainUntilTheStoreHasIt() {
+    void testFailedWriteIsRetriedUntilItSucceeds() {
         store.failures = 2;
         requests.hold(request(NOW_MILLIS));
         assertThat(store.objects).isEmpty();
-        pass(1_000);
+        advance(1_000);
         assertThat(store.objects).isEmpty();
-        pass(1_000);
+        advance(1_000);
         assertThat(store.objects).containsOnlyKeys(HARMFUL.toString());
     }
 
     @Test
-    void testRequestThatWasServedMeanwhileIsNotWrittenAgain() {
+    void testReleasedRequestIsNotRetried() {
         store.failures = 1;
         requests.hold(request(NOW_MILLIS));
         requests.release(HARMFUL);
-        pass(2_000);
+        advance(2_000);
         assertThat(store.objects).isEmpty();
     }
 
-    /** An object that somebody else spoilt costs none of the others. */
+    /** One malformed object must not prevent the others from being read. */
     @Test
-    void testObjectsThatCannotBeReadArePassedOver() {
+    void testMalformedObjectsAreReportedAndIgnored() {
         requests.hold(request(NOW_MILLIS));
-        store.objects.put("no fingerprint", HeldRequestForms.write(request(NOW_MILLIS)));
+        store.objects.put("no fingerprint", HeldRequestJson.write(request(NOW_MILLIS)));
         store.objects.put(
                 new Fingerprint(3, 4).toString(),
                 JsonNodeFactory.instance.objectNode().put("sinceMillis", "today"));
         store.objects.put(new Fingerprint(5, 6).toString(), JsonNodeFactory.instance.textNode(""));
         start();
-        assertThat(told.requests).containsOnlyKeys(HARMFUL);
-        assertThat(told.unreadable).hasSize(3);
+        assertThat(listener.requests).containsOnlyKeys(HARMFUL);
+        assertThat(listener.unreadable).hasSize(3);
     }
 
     @Test
-    void testRequestThatWasHeldLongEnoughIsRemoved() {
+    void testRequestWithExpiredQuarantineIsRemoved() {
         requests.hold(request(NOW_MILLIS - Quarantine.HELD_MILLIS - 1));
         start();
-        assertThat(told.requests).isEmpty();
+        assertThat(listener.requests).isEmpty();
         assertThat(store.objects).isEmpty();
     }
 
@@ -102,7 +102,7 @@
         loop.run();
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         nowMillis += millis;
         loop.post(() -> {});
         loop.run();
@@ -117,8 +117,8 @@
                 sinceMillis);
     }
 
-    /** A store that holds objects of one kind and fails the next writes. */
-    private static final class Objects implements ObjectStore {
+    /** An in-memory store of one kind of objects, whose next {@code failures} writes fail. */
+    private static final class InMemoryStore implements ObjectStore {
 
         private final Map<String, JsonNode> objects = new TreeMap<>();
 
@@ -133,19 +133,19 @@
 
         @Override
         public Promise<EntryChanges> watch(String kind, long revision, long waitMillis) {
-            return Promise.ofException(new IllegalStateException("Not watched."));
+            return Promise.ofException(new IllegalStateException("Watches are not expected."));
         }
 
         @Override
         public Promise<Void> put(String kind, String name, JsonNode value) {
-            return Promise.ofException(new IllegalStateException("Not replaced."));
+            return Promise.ofException(new IllegalStateException("Replacements are not expected."));
         }
 
         @Override
         public Promise<Void> create(String kind, String name, JsonNode value) {
             if (failures > 0) {
                 failures--;
-                return Promise.ofException(new IllegalStateException("Away."));
+                return Promise.ofException(new IllegalStateException("The store is unavailable."));
             }
             objects.putIfAbsent(name, value);
             return Promise.complete();
@@ -161,15 +161,15 @@
         public void close() {}
     }
 
-    /** What a gateway was told. */
-    private static final class Told implements DirectoryListener {
+    /** Records the notifications of the store. */
+    private static final class RecordingListener implements DirectoryListener {
 
         private Map<Fingerprint, HeldRequest> requests = Map.of();
 
         private final List<String> unreadable = new ArrayList<>();
 
         @Override
-        public void configured(GatewayConfiguration configuration, String document) {}
+        public void configurationChanged(GatewayConfiguration configuration, String document) {}
 
         @Override
         public void unreadable(String name, String reason) {
