--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -44,8 +44,8 @@
 import org.martenwell.once.ClaimLedger;
 import org.martenwell.operator.OperatedRouter;
 import org.martenwell.operator.OperatorServlet;
-import org.martenwell.peer.ConfigurationAnswer;
 import org.martenwell.peer.ConfigurationRequest;
+import org.martenwell.peer.ConfigurationResponse;
 import org.martenwell.peer.PeerListener;
 import org.martenwell.peer.PeerNetwork;
 import org.martenwell.peer.PeerTraffic;
@@ -278,9 +278,9 @@
     }
 
     @Override
-    public Optional<ConfigurationAnswer> configuration() {
+    public Optional<ConfigurationResponse> configuration() {
         return store.active()
-                .map(active -> new ConfigurationAnswer(active.version(), store.text()));
+                .map(active -> new ConfigurationResponse(active.version(), store.text()));
     }
 
     /**
@@ -330,11 +330,11 @@
         } else if (message instanceof TargetNotice notice) {
             monitor.received(notice);
         } else if (message instanceof ConfigurationRequest request) {
-            if (store.version() > request.above()) {
+            if (store.version() > request.newerThan()) {
                 network.send(
-                        request.router(), new ConfigurationAnswer(store.version(), store.text()));
+                        request.router(), new ConfigurationResponse(store.version(), store.text()));
             }
-        } else if (message instanceof ConfigurationAnswer answer) {
+        } else if (message instanceof ConfigurationResponse answer) {
             store.offer(answer.version(), answer.text());
         }
     }
@@ -357,7 +357,7 @@
                             .with("incarnation", heartbeat.incarnation())
                             .with("ready", heartbeat.ready())
                             .message());
-            network.peers(membership.addresses());
+            network.setPeers(membership.addresses());
             reassign();
         }
     }
@@ -414,7 +414,7 @@
      * @param addresses Their addresses.
      */
     private void seed(List<String> addresses) {
-        network.peers(
+        network.setPeers(
                 addresses.stream()
                         .filter(address -> !address.equals(settings.peerAddress()))
                         .collect(Collectors.toMap(address -> address, address -> address)));
@@ -463,7 +463,7 @@
      */
     private void listed(List<Box> boxes) {
         membership.replaceListedRouters(boxes);
-        network.peers(membership.addresses());
+        network.setPeers(membership.addresses());
         monitor.listed(
                 boxes.stream()
                         .filter(box -> box.role() == BoxRole.TARGET)
--- a/src/main/java/org/martenwell/directory/KindPoller.java
+++ b/src/main/java/org/martenwell/directory/KindPoller.java
@@ -6,67 +6,72 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Keeps up with the objects of one kind by lists that need not be fresh. Where many watch and many
- * change, as gateways do when all of them start, watches would cost a call for each pair; lists
- * cost each a small and constant number of calls. Who learns of an object in another way asks for a
- * fresh list by {@link #refresh}.
+ * Keeps a copy of all objects of one kind by listing them periodically. Suits objects that every
+ * gateway both writes and reads: when a fleet starts, watches would cost one call per pair of
+ * gateways, while the cost of polling per gateway is constant. Call {@link #refresh} to learn
+ * sooner of an object known from elsewhere.
  */
 final class KindPoller implements ManagedService {
 
-    /** How long after the first list another fresh one follows, in milliseconds. */
+    /**
+     * The delay between the first and the second {@link Freshness#CURRENT} list, in milliseconds.
+     */
     private static final long SETTLE_MILLIS = 1_500;
 
-    /** The shortest time between a list and a refresh, in milliseconds. */
-    private static final long REFRESH_MILLIS = 500;
+    /** The minimum time between the start of a list and a refresh, in milliseconds. */
+    private static final long MIN_REFRESH_MILLIS = 500;
 
-    /** How long it is from a failure to the next list before the first one, in milliseconds. */
-    private static final long FIRST_FAILURE_MILLIS = 400;
+    /** The mean delay before a retry until the first list has succeeded, in milliseconds. */
+    private static final long INITIAL_RETRY_MILLIS = 400;
 
     /**
-     * How long it is from a later failure to the next list, in milliseconds. Who joined or left
-     * meanwhile is heard of by reports; what a gateway must not miss other kinds bring.
+     * The mean delay before a retry after the first list has succeeded, in milliseconds. Membership
+     * changes in the meantime are also learned from reports of peers.
      */
-    private static final long FAILURE_MILLIS = 1_500;
+    private static final long RETRY_MILLIS = 1_500;
 
-    /** Where the objects come from. */
     private final KindSource source;
 
-    /** Whether the store answers. */
-    private final StoreContact contact;
+    private final StoreAvailability availability;
 
-    /** How often the objects are listed. */
-    private final PollPace pace;
+    private final PollInterval interval;
 
-    /** Is told of all objects after each change. */
+    /** Receives all objects after each change. */
     private final Consumer<Map<String, StoredEntry>> listener;
 
-    /** The objects at the last list. */
+    /** The objects of the last accepted list. */
     private Map<String, StoredEntry> entries = Map.of();
 
-    /** The revision of the last list, below which no list counts. */
+    /**
+     * The revision of the last accepted list, negative before the first; lists with lower revisions
+     * are ignored.
+     */
     private long revision = -1;
 
-    /** How many fresh lists are due before stale ones do. */
-    private int freshDue;
+    /**
+     * The number of {@link Freshness#CURRENT} lists to make before polling switches to stale ones.
+     */
+    private int freshListsDue;
 
-    /** When the last list began, in milliseconds. */
-    private long beganMillis = Long.MIN_VALUE / 2;
+    /** The time at which the last list started, in milliseconds. */
+    private long listStartedMillis = Long.MIN_VALUE / 2;
 
-    /** Counts lists and stops; what an earlier one brings is dropped. */
-    private int round;
+    /** Incremented for each list and on stop; results of earlier lists are ignored. */
+    private int generation;
 
     /**
-     * Creates a poller.
+     * Creates a poller that is not started.
      *
-     * @param source Where the objects come from.
-     * @param pace How often they are listed.
-     * @param listener Is told of all objects after each change.
+     * @param source The source of the objects.
+     * @param interval The intervals between lists.
+     * @param listener Receives all objects by name after each change.
      */
-    KindPoller(KindSource source, PollPace pace, Consumer<Map<String, StoredEntry>> listener) {
+    KindPoller(
+            KindSource source, PollInterval interval, Consumer<Map<String, StoredEntry>> listener) {
         this.source = source;
-        this.pace = pace;
-        this.freshDue = pace.freshLists();
-        this.contact = new StoreContact(source);
+        this.interval = interval;
+        this.freshListsDue = interval.freshLists();
+        this.availability = new StoreAvailability(source);
         this.listener = listener;
     }
 
@@ -78,47 +83,42 @@
 
     @Override
     public Promise<Void> stop() {
-        round++;
+        generation++;
         return Promise.complete();
     }
 
-    /** Asks for a fresh list, unless one began a moment ago. */
+    /** Requests a current list, unless a list started less than {@link #MIN_REFRESH_MILLIS} ago. */
     public void refresh() {
-        if (source.now() - beganMillis >= REFRESH_MILLIS) {
+        if (source.now() - listStartedMillis >= MIN_REFRESH_MILLIS) {
             list(Freshness.CURRENT);
         }
     }
 
-    /**
-     * Lists the objects.
-     *
-     * @param freshness How fresh the list must be.
-     */
     private void list(Freshness freshness) {
-        int present = ++round;
-        beganMillis = source.now();
+        int callGeneration = ++generation;
+        listStartedMillis = source.now();
         source.list(freshness)
                 .subscribe(
                         (listing, failure) -> {
-                            if (present != round) {
+                            if (callGeneration != generation) {
                                 return;
                             }
                             if (failure != null) {
-                                contact.listFailed(beganMillis, failure);
-                                listLater(failureMillis(), Freshness.CURRENT);
+                                availability.listFailed(listStartedMillis, failure);
+                                listLater(retryMillis(), Freshness.CURRENT);
                             } else {
-                                contact.answered();
-                                take(listing);
+                                availability.responded();
+                                apply(listing);
                             }
                         });
     }
 
     /**
-     * Takes in a list. One that is older than another seen before is dropped.
+     * Applies a list, unless it is older than the last accepted one, and schedules the next.
      *
      * @param listing The list.
      */
-    private void take(KindListing listing) {
+    private void apply(KindListing listing) {
         if (listing.revision() >= revision) {
             boolean changed = revision < 0 || !listing.entries().equals(entries);
             revision = listing.revision();
@@ -127,35 +127,30 @@
                 listener.accept(Map.copyOf(entries));
             }
         }
-        freshDue = Math.max(0, freshDue - 1);
-        if (freshDue > 0) {
+        freshListsDue = Math.max(0, freshListsDue - 1);
+        if (freshListsDue > 0) {
             listLater(SETTLE_MILLIS, Freshness.CURRENT);
         } else {
-            listLater(pace.millis(entries.size()), Freshness.STALE);
+            listLater(interval.millis(entries.size()), Freshness.STALE);
         }
     }
 
-    /**
-     * Returns how long it is from a failure to the next list.
-     *
-     * @return The mean time in milliseconds.
-     */
-    private long failureMillis() {
-        return revision < 0 ? FIRST_FAILURE_MILLIS : FAILURE_MILLIS;
+    private long retryMillis() {
+        return revision < 0 ? INITIAL_RETRY_MILLIS : RETRY_MILLIS;
     }
 
     /**
-     * Lists the objects after a while.
+     * Schedules a list.
      *
-     * @param millis The mean of the time until then, in milliseconds.
-     * @param freshness How fresh the list must be.
+     * @param millis The mean delay in milliseconds, to which jitter is applied.
+     * @param freshness The required consistency.
      */
     private void listLater(long millis, Freshness freshness) {
-        int present = round;
-        source.spread(
+        int callGeneration = generation;
+        source.delayWithJitter(
                 millis,
                 () -> {
-                    if (present == round) {
+                    if (callGeneration == generation) {
                         list(freshness);
                     }
                 });
--- /dev/null
+++ b/src/main/java/org/martenwell/directory/KindWatcher.java
@@ -0,0 +1,235 @@
+package org.martenwell.directory;
+
+import io.activej.promise.Promise;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import java.util.function.Supplier;
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+import org.martenwell.observe.LogEvent;
+import org.martenwell.service.ManagedService;
+
+/**
+ * Keeps a copy of all objects of one kind: lists them, then watches for changes. Lists them again
+ * after a watch has failed or the store has lost its history; resuming the watch instead could miss
+ * changes, because a store that loses its history may have skipped some while its revision
+ * advanced.
+ *
+ * <p>While the store is unavailable, the last known objects stay in use. Objects that are missing
+ * afterwards are retained for a grace period; see {@link RetainedEntries}.
+ */
+final class KindWatcher implements ManagedService {
+
+    private static final Logger LOGGER = LogManager.getLogger(KindWatcher.class);
+
+    /** The first delay before a retry, in milliseconds. */
+    private static final long INITIAL_DELAY_MILLIS = 40;
+
+    /**
+     * The maximum mean delay before a retry, in milliseconds. Delays are at most 1.5 times the
+     * mean, and a connection attempt takes up to 400 ms, so two failed attempts in a row fit into
+     * the 3 s within which a gateway must catch up after an outage.
+     */
+    private static final long MAX_DELAY_MILLIS = 600;
+
+    /**
+     * The time for which missing entries are retained after the first successful list, in
+     * milliseconds. Owners register again within about 2 s of the store's recovery.
+     */
+    private static final long RETENTION_MILLIS = 1_800;
+
+    /**
+     * The maximum time for which missing entries are retained after the last failed list began, in
+     * milliseconds. A gateway must have caught up within 3 s of the store's recovery.
+     */
+    private static final long MAX_CATCH_UP_MILLIS = 2_800;
+
+    private final KindSource source;
+
+    private final Supplier<WatchTiming> timing;
+
+    /** Returns the group of an object, such as a target's service. */
+    private final Function<StoredEntry, String> group;
+
+    /** Receives all objects after each change. */
+    private final Consumer<Map<String, StoredEntry>> listener;
+
+    private Map<String, StoredEntry> entries = new HashMap<>();
+
+    /** The objects that were missing after the last outage and are still reported. */
+    private RetainedEntries retained = RetainedEntries.NONE;
+
+    private final StoreAvailability availability;
+
+    /** The revision to watch from. */
+    private long revision;
+
+    /** Set if the next call must be a list rather than a watch. */
+    private boolean listDue = true;
+
+    private long delayMillis = INITIAL_DELAY_MILLIS;
+
+    /** Incremented on each restart; results of calls from earlier generations are ignored. */
+    private int generation;
+
+    /**
+     * Creates a watcher that is not started.
+     *
+     * @param source The source of the objects.
+     * @param timing Returns the current timing of watches.
+     * @param group Returns the group of an object, such as a target's service; retention is decided
+     *     per group.
+     * @param listener Receives all objects by name after each change.
+     */
+    KindWatcher(
+            KindSource source,
+            Supplier<WatchTiming> timing,
+            Function<StoredEntry, String> group,
+            Consumer<Map<String, StoredEntry>> listener) {
+        this.source = source;
+        this.availability = new StoreAvailability(source);
+        this.timing = timing;
+        this.group = group;
+        this.listener = listener;
+    }
+
+    @Override
+    public Promise<Void> start() {
+        makeNextCall(generation);
+        return Promise.complete();
+    }
+
+    @Override
+    public Promise<Void> stop() {
+        generation++;
+        return Promise.complete();
+    }
+
+    /** Lists all objects immediately, abandoning any call in progress. */
+    public void refresh() {
+        generation++;
+        listDue = true;
+        makeNextCall(generation);
+    }
+
+    private void makeNextCall(int callGeneration) {
+        if (callGeneration != generation) {
+            return;
+        }
+        if (listDue) {
+            list(callGeneration);
+        } else {
+            watch(callGeneration);
+        }
+    }
+
+    private void list(int callGeneration) {
+        long startedMillis = source.now();
+        source.list(Freshness.CURRENT)
+                .subscribe(
+                        (listing, failure) -> {
+                            if (callGeneration != generation) {
+                                return;
+                            }
+                            if (failure != null) {
+                                availability.listFailed(startedMillis, failure);
+                                retryLater(callGeneration);
+                            } else {
+                                applyListing(callGeneration, listing);
+                            }
+                        });
+    }
+
+    private void applyListing(int callGeneration, KindListing listing) {
+        delayMillis = INITIAL_DELAY_MILLIS;
+        listDue = false;
+        if (availability.unavailable()) {
+            retainMissing(listing.entries());
+        }
+        availability.responded();
+        entries = listing.entries();
+        revision = listing.revision();
+        notifyListener();
+        makeNextCall(callGeneration);
+    }
+
+    /**
+     * Retains objects that are missing in the first list after an outage.
+     *
+     * @param listed The objects that the store holds now, by name.
+     */
+    private void retainMissing(Map<String, StoredEntry> listed) {
+        long now = source.now();
+        Map<String, StoredEntry> before = retained.mergedInto(entries, now);
+        long until =
+                Math.min(
+                        now + RETENTION_MILLIS,
+                        availability.lastFailedListMillis() + MAX_CATCH_UP_MILLIS);
+        retained = RetainedEntries.of(before, listed, group, until);
+        LOGGER.info(
+                LogEvent.of("store-regained")
+                        .with("kind", source.kind())
+                        .with("awayMillis", availability.unavailableMillis())
+                        .with("listed", listed.size())
+                        .with("kept", retained.names())
+                        .message());
+        if (!retained.isEmpty()) {
+            source.delay(Math.max(0, until - now), this::notifyListener);
+        }
+    }
+
+    private void notifyListener() {
+        listener.accept(retained.mergedInto(entries, source.now()));
+    }
+
+    private void watch(int callGeneration) {
+        source.watch(revision, timing.get().waitMillis())
+                .subscribe(
+                        (changes, failure) -> {
+                            if (callGeneration != generation) {
+                                return;
+                            }
+                            if (failure != null) {
+                                availability.watchFailed(failure);
+                                listDue = true;
+                                retryLater(callGeneration);
+                            } else if (changes.historyLost()) {
+                                listDue = true;
+                                makeNextCall(callGeneration);
+                            } else {
+                                apply(callGeneration, changes);
+                            }
+                        });
+    }
+
+    private void apply(int callGeneration, EntryChanges changes) {
+        delayMillis = INITIAL_DELAY_MILLIS;
+        availability.responded();
+        for (EntryChange each : changes.changes()) {
+            if (each.removed()) {
+                entries.remove(each.entry().name());
+            } else {
+                entries.put(each.entry().name(), each.entry());
+            }
+        }
+        revision = Math.max(revision, changes.revision());
+        if (changes.changes().isEmpty()) {
+            makeNextCall(callGeneration);
+        } else {
+            notifyListener();
+            source.delay(timing.get().batchMillis(), () -> makeNextCall(callGeneration));
+        }
+    }
+
+    /**
+     * Schedules the next call with exponential backoff.
+     *
+     * @param callGeneration The generation of the failed call.
+     */
+    private void retryLater(int callGeneration) {
+        source.delayWithJitter(delayMillis, () -> makeNextCall(callGeneration));
+        delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
+    }
+}
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -11,8 +11,8 @@
 import org.martenwell.directory.GatewayMember;
 import org.martenwell.hash.RendezvousHash;
 import org.martenwell.message.PeerMessage;
-import org.martenwell.peer.ConfigurationAnswer;
 import org.martenwell.peer.ConfigurationRequest;
+import org.martenwell.peer.ConfigurationResponse;
 import org.martenwell.peer.PeerListener;
 import org.martenwell.peer.PeerNetwork;
 import org.martenwell.peer.ReportBatches;
@@ -149,7 +149,7 @@
     private void connect() {
         Map<String, String> needed = new HashMap<>(addresses);
         needed.keySet().retainAll(topology.requiredPeers(core.now()));
-        network.peers(needed);
+        network.setPeers(needed);
     }
 
     /** {@return the peers that reported recently} */
@@ -173,12 +173,12 @@
         } else if (message instanceof ReportBatch batch) {
             receiveBatch(batch);
         } else if (message instanceof ConfigurationRequest request) {
-            if (core.version() > request.above()) {
-                network.send(request.router(), new ConfigurationAnswer(core.version(), document));
+            if (core.version() > request.newerThan()) {
+                network.send(request.router(), new ConfigurationResponse(core.version(), document));
             }
-        } else if (message instanceof ConfigurationAnswer answer) {
+        } else if (message instanceof ConfigurationResponse answer) {
             if (answer.version() > core.version()) {
-                directory.passedOn(answer.text());
+                directory.applyForwardedConfiguration(answer.text());
             }
         }
     }
--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -63,10 +63,10 @@
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
         if (notice.draining() && availability.markDraining(NoticeSource.ANSWER, now)) {
-            leaves(target.target().life(), NoticeSource.ANSWER);
+            leaves(target.target().incarnation(), NoticeSource.ANSWER);
         }
         if (notice.pauseMillis() > 0 && availability.pause(notice.pauseMillis(), now)) {
-            log.pauseRequested(target.target().life(), notice.pauseMillis());
+            log.pauseRequested(target.target().incarnation(), notice.pauseMillis());
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/martenwell/peer/ConfigurationResponse.java
@@ -0,0 +1,11 @@
+package org.martenwell.peer;
+
+import org.martenwell.message.PeerMessage;
+
+/**
+ * Response to a {@link ConfigurationRequest} with the configuration in force.
+ *
+ * @param version The configuration's version.
+ * @param text The configuration as stored, in JSON.
+ */
+public record ConfigurationResponse(long version, String text) implements PeerMessage {}
--- /dev/null
+++ b/src/main/java/org/martenwell/peer/PeerConnection.java
@@ -0,0 +1,268 @@
+package org.martenwell.peer;
+
+import io.activej.bytebuf.ByteBuf;
+import io.activej.bytebuf.ByteBufPool;
+import io.activej.csp.binary.BinaryChannelSupplier;
+import io.activej.csp.binary.decoder.ByteBufsDecoders;
+import io.activej.csp.consumer.ChannelConsumer;
+import io.activej.csp.consumer.ChannelConsumers;
+import io.activej.csp.supplier.ChannelSuppliers;
+import io.activej.net.socket.tcp.TcpSocket;
+import io.activej.reactor.net.SocketSettings;
+import io.activej.reactor.nio.NioReactor;
+import java.io.ByteArrayOutputStream;
+import java.time.Duration;
+import java.util.Random;
+import org.martenwell.message.PeerMessage;
+import org.martenwell.service.IpAddress;
+
+/**
+ * Outgoing connection to one peer. Reconnects with exponential backoff and jitter whenever the
+ * connection fails or no keep-alive arrives in time.
+ */
+final class PeerConnection {
+
+    /**
+     * The timeout for connecting, in milliseconds. It is shorter than the retransmission timeout of
+     * TCP, which is about 1 s, so a new attempt is faster than waiting for a lost packet.
+     */
+    private static final long CONNECT_TIMEOUT_MILLIS = 400;
+
+    /**
+     * The maximum time between received bytes, in milliseconds, which allows for four missing
+     * keep-alives. Writes don't detect an unresponsive peer, because the operating system buffers
+     * them.
+     */
+    private static final long READ_TIMEOUT_MILLIS = 5 * PeerServer.KEEP_ALIVE_MILLIS;
+
+    /** The first delay before a reconnect, in milliseconds. */
+    private static final long INITIAL_DELAY_MILLIS = 50;
+
+    /**
+     * The maximum mean delay before a reconnect, in milliseconds. It lets peers communicate again
+     * within 2 s after a network partition ends.
+     */
+    private static final long MAX_DELAY_MILLIS = 1_000;
+
+    /**
+     * The maximum number of buffered bytes; the connection to a peer that doesn't read fast enough
+     * is closed.
+     */
+    private static final int MAX_PENDING_BYTES = 4 << 20;
+
+    /** The maximum size of a frame's length prefix in bytes. */
+    private static final int MAX_LENGTH_BYTES = 5;
+
+    private final NioReactor reactor;
+
+    private final String name;
+
+    private final String address;
+
+    /** The secret shared by all peers. */
+    private final String key;
+
+    /** The source of jitter. */
+    private final Random random;
+
+    private final PeerTraffic traffic;
+
+    private final PeerListener listener;
+
+    /** Encoded messages that have not been framed yet. */
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+
+    /** The open connection, or {@code null} if there is none. */
+    private TcpSocket socket;
+
+    /** Encodes messages; valid while {@link #codec} is set. */
+    private MessageWriter messageWriter;
+
+    /** Signs frames; {@code null} until the peer has sent the nonce of an open connection. */
+    private FrameCodec codec;
+
+    /** Set while a flush is queued in the event loop. */
+    private boolean flushScheduled;
+
+    /** Set while a frame is being written. */
+    private boolean writing;
+
+    /** Set once closed by {@link #close}, so that it doesn't reconnect. */
+    private boolean closed;
+
+    /** The mean delay before the next reconnect, in milliseconds. */
+    private long delayMillis = INITIAL_DELAY_MILLIS;
+
+    /**
+     * Creates a connection that is not open.
+     *
+     * @param reactor The event loop.
+     * @param name The peer's name.
+     * @param address The peer's address.
+     * @param key The secret shared by all peers.
+     * @param random The source of jitter.
+     * @param traffic Counts traffic.
+     * @param listener Receives notice of each established connection.
+     */
+    PeerConnection(
+            NioReactor reactor,
+            String name,
+            String address,
+            String key,
+            Random random,
+            PeerTraffic traffic,
+            PeerListener listener) {
+        this.reactor = reactor;
+        this.name = name;
+        this.address = address;
+        this.key = key;
+        this.random = random;
+        this.traffic = traffic;
+        this.listener = listener;
+    }
+
+    /** {@return the peer's address} */
+    String address() {
+        return address;
+    }
+
+    /** Connects, and reconnects after a failure until {@link #close} is called. */
+    void open() {
+        TcpSocket.connect(
+                        reactor,
+                        IpAddress.of(address),
+                        Duration.ofMillis(CONNECT_TIMEOUT_MILLIS),
+                        settings())
+                .whenResult(this::onConnected)
+                .whenException(exception -> retryLater());
+    }
+
+    private static SocketSettings settings() {
+        return SocketSettings.builder()
+                .withImplReadTimeout(Duration.ofMillis(READ_TIMEOUT_MILLIS))
+                .build();
+    }
+
+    /** Closes the connection and stops reconnecting. */
+    void close() {
+        closed = true;
+        if (socket != null) {
+            socket.close();
+        }
+    }
+
+    /**
+     * Queues a message. It is dropped if the connection is not established.
+     *
+     * @param message The message.
+     */
+    void send(PeerMessage message) {
+        if (codec == null) {
+            return;
+        }
+        if (pending.size() > MAX_PENDING_BYTES) {
+            socket.close();
+            return;
+        }
+        byte[] encoded = messageWriter.write(message);
+        pending.writeBytes(encoded);
+        traffic.messageSent(MessageType.of(message), encoded.length);
+        if (!flushScheduled) {
+            flushScheduled = true;
+            reactor.postLast(this::flush);
+        }
+    }
+
+    /**
+     * Waits for the nonce, then reads keep-alives until the connection ends.
+     *
+     * @param opened The open connection.
+     */
+    private void onConnected(TcpSocket opened) {
+        if (closed) {
+            opened.close();
+            return;
+        }
+        BinaryChannelSupplier input = BinaryChannelSupplier.of(ChannelSuppliers.ofSocket(opened));
+        input.decode(ByteBufsDecoders.ofFixedSize(FrameCodec.NONCE_BYTES))
+                .whenResult(nonce -> onNonceReceived(opened, nonce.asArray()))
+                .then(
+                        () ->
+                                input.decodeStream(ByteBufsDecoders.ofFixedSize(1))
+                                        .streamTo(keepAliveConsumer()))
+                .whenComplete(() -> onDisconnected(opened));
+    }
+
+    /**
+     * Returns a consumer that discards keep-alives, which serve only to reset the read timeout.
+     *
+     * @return The consumer.
+     */
+    private static ChannelConsumer<ByteBuf> keepAliveConsumer() {
+        return ChannelConsumers.ofConsumer(ByteBuf::recycle);
+    }
+
+    private void onNonceReceived(TcpSocket opened, byte[] nonce) {
+        socket = opened;
+        codec = new FrameCodec(key, nonce);
+        messageWriter = new MessageWriter();
+        delayMillis = INITIAL_DELAY_MILLIS;
+        listener.connected(name);
+    }
+
+    /**
+     * Discards a failed connection with its buffered messages and schedules a reconnect.
+     *
+     * @param broken The failed connection.
+     */
+    private void onDisconnected(TcpSocket broken) {
+        broken.close();
+        socket = null;
+        codec = null;
+        writing = false;
+        pending.reset();
+        retryLater();
+    }
+
+    private void retryLater() {
+        if (!closed) {
+            long jittered = delayMillis / 2 + random.nextLong(delayMillis);
+            delayMillis = Math.min(MAX_DELAY_MILLIS, delayMillis * 2);
+            reactor.delayBackground(jittered, this::open);
+        }
+    }
+
+    /**
+     * Runs after all other tasks of an iteration of the event loop, so that one frame carries all
+     * messages sent in it.
+     */
+    private void flush() {
+        flushScheduled = false;
+        write();
+    }
+
+    /** Writes all buffered messages in one frame, unless a frame is already being written. */
+    private void write() {
+        if (writing || codec == null || pending.size() == 0) {
+            return;
+        }
+        TcpSocket current = socket;
+        byte[] frame = codec.sign(pending.toByteArray());
+        pending.reset();
+        ByteBuf buffer = ByteBufPool.allocate(frame.length + MAX_LENGTH_BYTES);
+        buffer.writeVarInt(frame.length);
+        buffer.write(frame);
+        traffic.frameOverheadSent(
+                buffer.readRemaining() - frame.length + FrameCodec.SIGNATURE_BYTES);
+        writing = true;
+        current.write(buffer)
+                .whenResult(
+                        () -> {
+                            if (current == socket) {
+                                writing = false;
+                                write();
+                            }
+                        })
+                .whenException(exception -> current.close());
+    }
+}
--- a/src/main/java/org/martenwell/peer/PeerNetwork.java
+++ b/src/main/java/org/martenwell/peer/PeerNetwork.java
@@ -10,40 +10,35 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * The connections of one router with its peers. Each router opens one connection to each peer and
- * only sends over it; it receives over those that peers open.
+ * Connections between one router and its peers. Each router opens one connection to every peer,
+ * over which it only sends messages; it receives messages over the connections that peers open to
+ * it.
  */
 public final class PeerNetwork implements ManagedService {
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The key that peers share. */
     private final String key;
 
-    /** Takes connections. */
     private final PeerServer server;
 
-    /** Is told of what arrives. */
     private final PeerListener listener;
 
-    /** Spreads attempts to connect. */
     private final Random random;
 
-    /** Counts traffic. */
     private final PeerTraffic traffic = new PeerTraffic();
 
-    /** The connections to peers, by name. */
-    private final Map<String, PeerLink> links = new HashMap<>();
+    /** The outgoing connections by the peer's name. */
+    private final Map<String, PeerConnection> connections = new HashMap<>();
 
     /**
      * Creates a network without peers.
      *
-     * @param reactor The loop.
-     * @param address Where to take connections.
-     * @param key The key that peers share.
-     * @param random Spreads attempts to connect.
-     * @param listener Is told of what arrives.
+     * @param reactor The event loop.
+     * @param address The address to listen on.
+     * @param key The secret shared by all peers.
+     * @param random The source of jitter.
+     * @param listener Receives messages and connection events.
      */
     public PeerNetwork(
             NioReactor reactor, String address, String key, Random random, PeerListener listener) {
@@ -61,71 +56,62 @@
 
     @Override
     public Promise<Void> stop() {
-        links.values().forEach(PeerLink::close);
-        links.clear();
+        connections.values().forEach(PeerConnection::close);
+        connections.clear();
         return server.stop();
     }
 
     /**
-     * Changes the peers. Connections to others are closed.
+     * Replaces the set of peers. Connections to removed peers and to changed addresses are closed;
+     * missing ones are opened.
      *
      * @param addresses The peers' addresses by name.
      */
-    public void peers(Map<String, String> addresses) {
-        for (String name : Map.copyOf(links).keySet()) {
+    public void setPeers(Map<String, String> addresses) {
+        for (String name : Map.copyOf(connections).keySet()) {
             if (!addresses.containsKey(name)
-                    || !links.get(name).address().equals(addresses.get(name))) {
-                links.remove(name).close();
+                    || !connections.get(name).address().equals(addresses.get(name))) {
+                connections.remove(name).close();
             }
         }
         for (Map.Entry<String, String> entry : addresses.entrySet()) {
-            links.computeIfAbsent(entry.getKey(), name -> open(name, entry.getValue()));
+            connections.computeIfAbsent(entry.getKey(), name -> open(name, entry.getValue()));
         }
     }
 
     /**
-     * Sends a message to a peer. It is dropped if there is no connection.
+     * Sends a message to a peer. It is dropped if the connection is not established.
      *
      * @param peer The peer's name.
      * @param message The message.
-     * @return {@code false} if this is none of the present peers.
+     * @return {@code false} if there is no peer of that name.
      */
     public boolean send(String peer, PeerMessage message) {
-        PeerLink link = links.get(peer);
-        if (link != null) {
-            link.send(message);
+        PeerConnection connection = connections.get(peer);
+        if (connection != null) {
+            connection.send(message);
         }
-        return link != null;
+        return connection != null;
     }
 
     /**
-     * Sends a message to all peers.
+     * Sends a message to all peers with an established connection.
      *
      * @param message The message.
      */
     public void broadcast(PeerMessage message) {
-        links.values().forEach(link -> link.send(message));
+        connections.values().forEach(connection -> connection.send(message));
     }
 
-    /**
-     * Returns the counters of traffic.
-     *
-     * @return The counters.
-     */
+    /** {@return the traffic counters of all connections} */
     public PeerTraffic traffic() {
         return traffic;
     }
 
-    /**
-     * Opens a connection.
-     *
-     * @param name The peer's name.
-     * @param address The peer's address.
-     * @return The connection.
-     */
-    private PeerLink open(String name, String address) {
-        PeerLink link = new PeerLink(reactor, name, address, key, random, traffic, listener);
-        link.open();
-        return link;
+    private PeerConnection open(String name, String address) {
+        PeerConnection connection =
+                new PeerConnection(reactor, name, address, key, random, traffic, listener);
+        connection.open();
+        return connection;
     }
 }
--- a/src/main/java/org/martenwell/peer/ScheduleForms.java
+++ b/src/main/java/org/martenwell/peer/ScheduleMessageCodec.java
@@ -13,18 +13,19 @@
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 
-/** The forms of messages about scheduling. */
-final class ScheduleForms {
+/**
+ * Encodes and decodes messages about scheduling. The order of the fields is part of the protocol.
+ */
+final class ScheduleMessageCodec {
 
-    /** Not instantiated. */
-    private ScheduleForms() {}
+    private ScheduleMessageCodec() {}
 
     /**
-     * Writes a service report.
+     * Encodes a service report.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The report.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(ServiceReport message, FieldWriter writer) throws IOException {
         writer.name(message.router());
@@ -41,27 +42,27 @@
     }
 
     /**
-     * Reads a service report.
+     * Decodes a service report.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The report.
+     * @throws IOException If the payload ends early.
      */
     static ServiceReport readServiceReport(FieldReader reader) throws IOException {
         String router = reader.name();
         long incarnation = reader.number();
         long sequence = reader.number();
         double liftLevel = reader.service();
-        List<ServiceEntry> entries = reader.list(ScheduleForms::readServiceEntry);
+        List<ServiceEntry> entries = reader.list(ScheduleMessageCodec::readServiceEntry);
         return new ServiceReport(router, incarnation, sequence, liftLevel, entries);
     }
 
     /**
-     * Writes a slot report.
+     * Encodes a slot report.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The report.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(SlotReport message, FieldWriter writer) throws IOException {
         writer.name(message.router());
@@ -95,11 +96,11 @@
     }
 
     /**
-     * Reads a slot report.
+     * Decodes a slot report.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The report.
+     * @throws IOException If the payload ends early.
      */
     static SlotReport readSlotReport(FieldReader reader) throws IOException {
         String router = reader.name();
@@ -113,17 +114,17 @@
                 coordinatorIncarnation,
                 sequence,
                 complete,
-                reader.list(ScheduleForms::readDemand),
-                reader.list(ScheduleForms::readHolding),
-                reader.list(ScheduleForms::readFailure));
+                reader.list(ScheduleMessageCodec::readDemand),
+                reader.list(ScheduleMessageCodec::readHolding),
+                reader.list(ScheduleMessageCodec::readFailure));
     }
 
     /**
-     * Writes slot grants.
+     * Encodes slot grants.
      *
-     * @param message The message.
-     * @param writer Receives it.
-     * @throws IOException Never for a buffer in memory.
+     * @param message The grants.
+     * @param writer Receives the fields.
+     * @throws IOException Never; the buffer is in memory.
      */
     static void write(SlotGrants message, FieldWriter writer) throws IOException {
         writer.name(message.coordinator());
@@ -141,66 +142,38 @@
     }
 
     /**
-     * Reads slot grants.
+     * Decodes slot grants.
      *
-     * @param reader Gives it.
-     * @return The message.
-     * @throws IOException If it ends early.
+     * @param reader Provides the fields.
+     * @return The grants.
+     * @throws IOException If the payload ends early.
      */
     static SlotGrants readSlotGrants(FieldReader reader) throws IOException {
         String coordinator = reader.name();
         long incarnation = reader.number();
         long routerIncarnation = reader.number();
         boolean completeReportRequested = reader.flag();
-        List<SlotGrant> grants = reader.list(ScheduleForms::readSlotGrant);
+        List<SlotGrant> grants = reader.list(ScheduleMessageCodec::readSlotGrant);
         return new SlotGrants(
                 coordinator, incarnation, routerIncarnation, completeReportRequested, grants);
     }
 
-    /**
-     * Reads an organisation's counters.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static ServiceEntry readServiceEntry(FieldReader reader) throws IOException {
         return new ServiceEntry(
-                reader.name(), reader.service(), reader.service(), reader.smallNumber());
+                reader.name(), reader.service(), reader.service(), reader.intNumber());
     }
 
-    /**
-     * Reads a total of grants.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static SlotGrant readSlotGrant(FieldReader reader) throws IOException {
         return new SlotGrant(
                 reader.name(), reader.number(), reader.name(), reader.number(), reader.flag());
     }
 
-    /**
-     * Reads a queue.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static Demand readDemand(FieldReader reader) throws IOException {
         PoolKind kind = reader.flag() ? PoolKind.MODEL : PoolKind.SERVICE;
         Pool pool = new Pool(kind, reader.name());
-        return new Demand(pool, reader.name(), reader.smallNumber(), reader.number());
+        return new Demand(pool, reader.name(), reader.intNumber(), reader.number());
     }
 
-    /**
-     * Reads slots of one class.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static Holding readHolding(FieldReader reader) throws IOException {
         return new Holding(
                 reader.name(),
@@ -208,17 +181,10 @@
                 reader.name(),
                 reader.number(),
                 reader.number(),
-                reader.smallNumber(),
-                reader.smallNumber());
+                reader.intNumber(),
+                reader.intNumber());
     }
 
-    /**
-     * Reads a target's failures.
-     *
-     * @param reader Gives it.
-     * @return The item.
-     * @throws IOException If it ends early.
-     */
     private static FailureCount readFailure(FieldReader reader) throws IOException {
         return new FailureCount(reader.name(), reader.number());
     }
--- a/src/test/java/org/martenwell/directory/ScriptedStore.java
+++ b/src/test/java/org/martenwell/directory/ScriptedStore.java
@@ -10,73 +10,79 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A store whose lists answer what the test has laid down, in order. */
+/** A store whose lists return scripted responses in order. Its watches always fail. */
 final class ScriptedStore implements ObjectStore {
 
-    /** What the next lists answer, empty for a failure; the last one is answered again. */
-    private final Deque<Optional<EntryPage>> pages = new ArrayDeque<>();
+    /** The scripted responses, empty for a failure; the last one is repeated. */
+    private final Deque<Optional<EntryPage>> scriptedPages = new ArrayDeque<>();
 
-    /** The failure of the list that hangs, or {@code null} if none does. */
+    /** The pending list, or {@code null} if there is none. */
     private SettablePromise<EntryPage> hanging;
 
-    /** Whether the next list hangs. */
-    private boolean hangs;
+    /** Set if the next list stays pending. */
+    private boolean hangNext;
 
-    /** How many lists were asked for. */
-    private int lists;
+    /** The number of list calls. */
+    private int listCount;
 
-    /** The revisions from which watches began. */
-    private final List<Long> watched = new ArrayList<>();
+    /** The revisions at which watches started. */
+    private final List<Long> watchedRevisions = new ArrayList<>();
 
-    /** Lays down what the next list answers. */
-    void answers(long revision, boolean more, String... names) {
+    /** Adds a response to the script. */
+    void willReturn(long revision, boolean hasMore, String... names) {
         List<StoredEntry> entries = new ArrayList<>();
         for (String each : names) {
             entries.add(new StoredEntry(each, revision, JsonNodeFactory.instance.objectNode()));
         }
-        pages.add(Optional.of(new EntryPage(entries, more, revision)));
+        scriptedPages.add(Optional.of(new EntryPage(entries, hasMore, revision)));
     }
 
-    /** Lays down that the next list fails. */
-    void fails() {
-        pages.add(Optional.empty());
+    /** Adds a failure to the script. */
+    void willFail() {
+        scriptedPages.add(Optional.empty());
     }
 
-    /** Lets the next list hang until {@link #endHanging}; what is laid down comes after it. */
-    void hangs() {
-        hangs = true;
+    /**
+     * Leaves the next list pending until {@link #failHanging}; scripted responses resume after it.
+     */
+    void willHang() {
+        hangNext = true;
     }
 
-    /** Lets the list that hangs fail. */
-    void endHanging() {
-        hanging.setException(new IllegalStateException("Took too long."));
+    /** Fails the pending list. */
+    void failHanging() {
+        hanging.setException(new IllegalStateException("The call timed out."));
     }
 
-    int lists() {
-        return lists;
+    int listCount() {
+        return listCount;
     }
 
-    List<Long> watched() {
-        return watched;
+    List<Long> watchedRevisions() {
+        return watchedRevisions;
     }
 
     @Override
     public Promise<EntryPage> list(String kind, Optional<String> after, Freshness freshness) {
-        lists++;
-        if (hangs) {
-            hangs = false;
+        listCount++;
+        if (hangNext) {
+            hangNext = false;
             hanging = new SettablePromise<>();
             return hanging;
         }
-        Optional<EntryPage> page = pages.size() > 1 ? pages.poll() : pages.element();
+        Optional<EntryPage> page =
+                scriptedPages.size() > 1 ? scriptedPages.poll() : scriptedPages.element();
         return page.map(Promise::of)
-                .orElseGet(() -> Promise.ofException(new IllegalStateException("Away.")));
+                .orElseGet(
+                        () ->
+                                Promise.ofException(
+                                        new IllegalStateException("The store is unavailable.")));
     }
 
     @Override
     public Promise<EntryChanges> watch(String kind, long revision, long waitMillis) {
-        watched.add(revision);
-        return Promise.ofException(new IllegalStateException("No change is laid down."));
+        watchedRevisions.add(revision);
+        return Promise.ofException(new IllegalStateException("No watch is scripted."));
     }
 
     @Override
