--- a/src/main/java/org/martenwell/error/MartenwellException.java
+++ b/src/main/java/org/martenwell/error/MartenwellException.java
@@ -2,29 +2,19 @@
 
 import java.util.OptionalLong;
 
-/** The unchecked exception that carries an error kind. */
+/** An unchecked exception with an {@link ErrorKind}, an outcome and an optional retry delay. */
 public final class MartenwellException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** The kind of the error. */
     private final ErrorKind kind;
 
-    /** The outcome stated for the request, which may be firmer than the kind's own. */
+    /** The outcome of the request, which may be more specific than the kind's default. */
     private final Outcome outcome;
 
-    /** The time until a repeat makes sense, in milliseconds, or a negative number if unknown. */
+    /** The delay after which a retry may succeed, in milliseconds; negative if unknown. */
     private final long retryAfterMillis;
 
-    /**
-     * Creates an exception.
-     *
-     * @param kind The kind of the error.
-     * @param message What went wrong, in one sentence.
-     * @param cause The exception that led to this one or {@code null}.
-     * @param outcome The outcome stated for the request.
-     * @param retryAfterMillis The time until a repeat makes sense, or a negative number.
-     */
     private MartenwellException(
             ErrorKind kind,
             String message,
@@ -38,10 +28,10 @@
     }
 
     /**
-     * Creates an exception with the outcome of its kind.
+     * Creates an exception with the kind's default outcome.
      *
      * @param kind The kind of the error.
-     * @param message What went wrong, in one sentence.
+     * @param message The error message, one sentence.
      * @return The exception.
      */
     public static MartenwellException of(ErrorKind kind, String message) {
@@ -49,11 +39,11 @@
     }
 
     /**
-     * Creates an exception with the outcome of its kind and a cause.
+     * Creates an exception with a cause and the kind's default outcome.
      *
      * @param kind The kind of the error.
-     * @param message What went wrong, in one sentence.
-     * @param cause The exception that led to this one.
+     * @param message The error message, one sentence.
+     * @param cause The underlying exception.
      * @return The exception.
      */
     public static MartenwellException of(ErrorKind kind, String message, Throwable cause) {
@@ -61,9 +51,9 @@
     }
 
     /**
-     * Returns a copy that states another outcome.
+     * Returns a copy with another outcome.
      *
-     * @param outcome The outcome to state.
+     * @param outcome The outcome of the request.
      * @return The copy.
      */
     public MartenwellException withOutcome(Outcome outcome) {
@@ -71,38 +61,26 @@
     }
 
     /**
-     * Returns a copy that tells when to come back.
+     * Returns a copy with a retry delay.
      *
-     * @param millis The time until a repeat makes sense, in milliseconds.
+     * @param millis The delay after which a retry may succeed, in milliseconds.
      * @return The copy.
      */
     public MartenwellException withRetryAfter(long millis) {
         return new MartenwellException(kind, getMessage(), getCause(), outcome, millis);
     }
 
-    /**
-     * Returns the kind of the error.
-     *
-     * @return The kind of the error.
-     */
+    /** {@return the kind of the error} */
     public ErrorKind kind() {
         return kind;
     }
 
-    /**
-     * Returns the outcome stated for the request.
-     *
-     * @return The outcome stated for the request.
-     */
+    /** {@return the outcome of the request} */
     public Outcome outcome() {
         return outcome;
     }
 
-    /**
-     * Returns the time until a repeat makes sense.
-     *
-     * @return The time in milliseconds or empty if unknown.
-     */
+    /** {@return the delay after which a retry may succeed, in milliseconds; empty if unknown} */
     public OptionalLong retryAfterMillis() {
         return retryAfterMillis < 0 ? OptionalLong.empty() : OptionalLong.of(retryAfterMillis);
     }
--- a/src/main/java/org/martenwell/error/Repeat.java
+++ b/src/main/java/org/martenwell/error/Repeat.java
@@ -2,22 +2,20 @@
 
 import java.util.Locale;
 
-/** Says whether a caller may send a request again after an error. */
+/** The conditions under which a caller may retry a request after an error. */
 public enum Repeat {
 
-    /** The same request would fail again. */
+    /** A retry of the same request would fail again. */
     NEVER,
 
-    /** The same request may succeed after the time given in {@code Retry-After}. */
+    /** A retry may succeed after the delay in the {@code Retry-After} header. */
     LATER,
 
-    /** The request may be sent again only if running it twice does no harm. */
+    /** A retry is safe only if the request is idempotent, since it may have run. */
     IF_REPEATABLE;
 
     /**
-     * Returns the word used in answers.
-     *
-     * @return The constant's name in lower case, with hyphens.
+     * {@return the value used in error responses: the constant's name in lower case, with hyphens}
      */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/src/main/java/org/martenwell/error/package-info.java
+++ b/src/main/java/org/martenwell/error/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The closed list of error kinds, the outcome that each one states, and the exception that carries
- * it.
+ * Error kinds with their HTTP statuses, outcomes and exit codes, and the exception that carries
+ * them.
  */
 package org.martenwell.error;
--- a/src/main/java/org/martenwell/json/InvalidDocuments.java
+++ b/src/main/java/org/martenwell/json/InvalidDocuments.java
@@ -5,16 +5,17 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Turns lists of problems into exceptions. */
+/** Throws exceptions for documents with problems. */
 public final class InvalidDocuments {
 
     /** Not instantiated. */
     private InvalidDocuments() {}
 
     /**
-     * Throws an exception that lists all problems, one a line, if there are any.
+     * Throws {@link ErrorKind#INVALID_DOCUMENT} with all problems, one per line, unless the list is
+     * empty.
      *
-     * @param problems The problems found.
+     * @param problems The problems, may be empty.
      */
     public static void throwIfAny(List<Problem> problems) {
         if (!problems.isEmpty()) {
--- a/src/main/java/org/martenwell/json/Json.java
+++ b/src/main/java/org/martenwell/json/Json.java
@@ -11,16 +11,19 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Reads and writes the JSON that programs exchange. */
+/**
+ * Parses and serializes the JSON that programs exchange. See {@link JsonDocuments} for files
+ * written by people.
+ */
 public final class Json {
 
     /** Not instantiated. */
     private Json() {}
 
-    /** Maps messages to types. Loaded with its first use, which trees don't need. */
+    /** Initializes the object mapper on first use; reading and writing trees does not need it. */
     private static final class Mapper {
 
-        /** Reads what programs write: strict JSON, unknown fields ignored. */
+        /** Accepts strict JSON and ignores unknown fields. */
         private static final ObjectMapper INSTANCE =
                 JsonMapper.builder()
                         .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -37,11 +40,12 @@
     }
 
     /**
-     * Reads a message that a program wrote.
+     * Parses a message and maps it to a type. Throws {@link ErrorKind#MALFORMED_REQUEST} if it does
+     * not match.
      *
-     * @param bytes The message in UTF-8.
-     * @param type The type to map to.
-     * @param <T> The type to map to.
+     * @param bytes The message, encoded in UTF-8.
+     * @param type The class to map to.
+     * @param <T> The type of the result.
      * @return The mapped value.
      */
     public static <T> T read(byte[] bytes, Class<T> type) {
@@ -54,77 +58,79 @@
     }
 
     /**
-     * Reads a message of any shape.
+     * Parses a message into a tree. Throws {@link ErrorKind#MALFORMED_REQUEST} if it is not valid
+     * JSON.
      *
-     * @param bytes The message in UTF-8.
-     * @return The root of the message.
+     * @param bytes The message, encoded in UTF-8.
+     * @return The root node.
      */
     public static JsonNode read(byte[] bytes) {
         try {
             return JsonTrees.read(bytes);
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.MALFORMED_REQUEST, "The body is no JSON.", exception);
+                    ErrorKind.MALFORMED_REQUEST, "The body is not valid JSON.", exception);
         }
     }
 
     /**
-     * Reads a message that holds values which others wrote. What can't be read of these becomes
-     * {@code null} or holds U+FFFD.
+     * Parses a message that contains values from third parties. Values that cannot be parsed become
+     * {@code null}, and invalid UTF-8 becomes U+FFFD.
      *
-     * @param bytes The message.
-     * @return The root of the message.
+     * @param bytes The message, possibly with invalid UTF-8.
+     * @return The root node.
      */
     public static JsonNode readLeniently(byte[] bytes) {
         try {
             return JsonTrees.readLeniently(bytes);
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.MALFORMED_REQUEST, "The body is no JSON.", exception);
+                    ErrorKind.MALFORMED_REQUEST, "The body is not valid JSON.", exception);
         }
     }
 
     /**
-     * Writes a message of any shape.
+     * Serializes a tree.
      *
-     * @param root The root of the message.
-     * @return The message in UTF-8.
+     * @param root The root node.
+     * @return The message, encoded in UTF-8.
      */
     public static byte[] write(JsonNode root) {
         try {
             return JsonTrees.write(root);
         } catch (IOException exception) {
-            throw MartenwellException.of(ErrorKind.INTERNAL, "A tree has no JSON form.", exception);
+            throw MartenwellException.of(
+                    ErrorKind.INTERNAL, "The tree cannot be serialized as JSON.", exception);
         }
     }
 
     /**
-     * Writes a message.
+     * Serializes a value.
      *
-     * @param value The value to write.
-     * @return The message in UTF-8.
+     * @param value The value to serialize.
+     * @return The message, encoded in UTF-8.
      */
     public static byte[] write(Object value) {
         try {
             return Mapper.INSTANCE.writeValueAsBytes(value);
         } catch (JsonProcessingException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INTERNAL, "A value has no JSON form.", exception);
+                    ErrorKind.INTERNAL, "The value cannot be serialized as JSON.", exception);
         }
     }
 
     /**
-     * Writes a value for a person to read.
+     * Serializes a value with indentation, for people to read.
      *
-     * @param value The value to write.
-     * @return The text, indented.
+     * @param value The value to serialize.
+     * @return The indented JSON.
      */
     public static String print(Object value) {
         try {
             return Mapper.INSTANCE.writerWithDefaultPrettyPrinter().writeValueAsString(value);
         } catch (JsonProcessingException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INTERNAL, "A value has no JSON form.", exception);
+                    ErrorKind.INTERNAL, "The value cannot be serialized as JSON.", exception);
         }
     }
 }
--- a/src/main/java/org/martenwell/json/JsonDocuments.java
+++ b/src/main/java/org/martenwell/json/JsonDocuments.java
@@ -16,13 +16,12 @@
 import org.martenwell.error.MartenwellException;
 
 /**
- * Reads the JSON that people write: comments and trailing commas are allowed, unknown fields and
- * fields that are given twice are not.
+ * Parses JSON files written by people: comments and trailing commas are allowed, unknown and
+ * duplicate fields are rejected.
  */
 public final class JsonDocuments {
 
-    /** Creates parsers. */
-    private static final JsonFactory PARSERS =
+    private static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
                     .enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
@@ -33,12 +32,11 @@
     /** Not instantiated. */
     private JsonDocuments() {}
 
-    /** Maps documents to types. Loaded with its first use, which parsers don't need. */
+    /** Initializes the object mapper on first use; {@link #parser} does not need it. */
     private static final class Mapper {
 
-        /** Maps documents. */
         private static final ObjectMapper INSTANCE =
-                JsonMapper.builder(PARSERS)
+                JsonMapper.builder(FACTORY)
                         .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                         .addModule(new Jdk8Module())
                         .defaultPropertyInclusion(
@@ -52,22 +50,23 @@
     }
 
     /**
-     * Creates a parser that takes a document piece by piece.
+     * Creates a streaming parser.
      *
-     * @param text The document.
-     * @return The parser.
-     * @throws IOException Never for a text.
+     * @param text The content of the document.
+     * @return The parser, to be closed by the caller.
+     * @throws IOException Declared by the parser library; not thrown for a string.
      */
     public static JsonParser parser(String text) throws IOException {
-        return PARSERS.createParser(text);
+        return FACTORY.createParser(text);
     }
 
     /**
-     * Parses a document.
+     * Parses a document into a tree. Throws {@link ErrorKind#INVALID_DOCUMENT} with the line of a
+     * syntax error.
      *
-     * @param file The name of the document, for the message.
-     * @param text The document.
-     * @return The root of the document.
+     * @param file The name of the document for error messages.
+     * @param text The content of the document.
+     * @return The root node.
      */
     public static JsonNode parse(String file, String text) {
         try {
@@ -84,11 +83,11 @@
     }
 
     /**
-     * Maps a checked document to its type.
+     * Maps a document to a type after its schema was checked.
      *
-     * @param root The root of the document.
-     * @param type The type to map to.
-     * @param <T> The type to map to.
+     * @param root The root node of the document.
+     * @param type The class to map to.
+     * @param <T> The type of the result.
      * @return The mapped value.
      */
     public static <T> T map(JsonNode root, Class<T> type) {
--- a/src/main/java/org/martenwell/json/JsonTrees.java
+++ b/src/main/java/org/martenwell/json/JsonTrees.java
@@ -18,17 +18,16 @@
 import java.util.Map;
 
 /**
- * Reads and writes trees of JSON without a mapper of types, whose set-up took 0.10 of 0.50 s of
- * processor time of a gateway's start (medians of five and seven starts).
+ * Parses and serializes JSON trees without an {@code ObjectMapper}, whose initialization would slow
+ * down the start of a gateway.
  */
 final class JsonTrees {
 
-    /** Creates parsers and generators. */
     private static final JsonFactory FACTORY = new JsonFactory();
 
     /**
-     * Creates parsers of what others wrote. One value that a strict parser refuses would cost the
-     * whole document, and so all targets of a list.
+     * Tolerates invalid values in documents with entries from third parties, so that one invalid
+     * value does not invalidate the entire document.
      */
     private static final JsonFactory LENIENT =
             JsonFactory.builder()
@@ -44,62 +43,66 @@
                                     .build())
                     .build();
 
-    /** How deep what others wrote is read; documents of the store are at most ten levels deep. */
+    /** The maximum nesting depth in lenient mode; values nested more deeply become {@code null}. */
     private static final int MAX_DEPTH = 64;
 
-    /** The most digits of a number; a strict parser refuses more by itself. */
+    /**
+     * The maximum digits of an integer in lenient mode; strict parsers enforce a limit of their
+     * own.
+     */
     private static final int MAX_DIGITS = 1_000;
 
-    /** Creates nodes. */
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     /** Not instantiated. */
     private JsonTrees() {}
 
     /**
-     * Reads a tree.
+     * Parses a document strictly.
      *
-     * @param bytes The text in UTF-8, with nothing behind the tree.
-     * @return The root.
-     * @throws IOException If the text is malformed.
+     * @param bytes The document, encoded in UTF-8, without trailing content.
+     * @return The root node.
+     * @throws IOException If the document is malformed.
      */
     static JsonNode read(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             parser.nextToken();
-            JsonNode root = value(parser, Integer.MAX_VALUE);
+            JsonNode root = readValue(parser, Integer.MAX_VALUE);
             if (parser.nextToken() != null) {
-                throw new JsonParseException(parser, "More follows the document.");
+                throw new JsonParseException(
+                        parser, "Unexpected content after the end of the document.");
             }
             return root;
         }
     }
 
     /**
-     * Reads a tree that holds values which others wrote. Values that can't be read become {@code
-     * null}, and bytes that are no UTF-8 become U+FFFD, so that the others hold.
+     * Parses a document that contains values from third parties. Values that cannot be parsed
+     * become {@code null}, and invalid UTF-8 becomes U+FFFD.
      *
-     * @param bytes The text, with nothing behind the tree.
-     * @return The root.
-     * @throws IOException If its structure is malformed.
+     * @param bytes The document, without trailing content.
+     * @return The root node.
+     * @throws IOException If the structure of the document is malformed.
      */
     static JsonNode readLeniently(byte[] bytes) throws IOException {
         String text = new String(bytes, StandardCharsets.UTF_8);
         try (JsonParser parser = LENIENT.createParser(text)) {
             parser.nextToken();
-            JsonNode root = value(parser, MAX_DEPTH);
+            JsonNode root = readValue(parser, MAX_DEPTH);
             if (parser.nextToken() != null) {
-                throw new JsonParseException(parser, "More follows the document.");
+                throw new JsonParseException(
+                        parser, "Unexpected content after the end of the document.");
             }
             return root;
         }
     }
 
     /**
-     * Writes a tree.
+     * Serializes a tree.
      *
-     * @param root The root.
-     * @return The text in UTF-8.
-     * @throws IOException If a node has no JSON form.
+     * @param root The root node.
+     * @return The document, encoded in UTF-8.
+     * @throws IOException If a node cannot be represented in JSON.
      */
     static byte[] write(JsonNode root) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -110,85 +113,52 @@
     }
 
     /**
-     * Reads the value at which a parser stands.
-     *
-     * @param parser The parser.
-     * @param depth How many levels are read; deeper ones become {@code null}.
-     * @return The value.
-     * @throws IOException If the text is malformed.
+     * Reads the value at the parser's current token; levels below the depth become {@code null}.
      */
-    private static JsonNode value(JsonParser parser, int depth) throws IOException {
+    private static JsonNode readValue(JsonParser parser, int depth) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
             throw new JsonParseException(parser, "The document is empty.");
         }
         return switch (token) {
-            case START_OBJECT -> depth > 0 ? object(parser, depth - 1) : skipped(parser);
-            case START_ARRAY -> depth > 0 ? array(parser, depth - 1) : skipped(parser);
+            case START_OBJECT -> depth > 0 ? readObject(parser, depth - 1) : skipValue(parser);
+            case START_ARRAY -> depth > 0 ? readArray(parser, depth - 1) : skipValue(parser);
             case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> wholeNumber(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
             case VALUE_NULL -> NODES.nullNode();
-            default -> throw new JsonParseException(parser, "A value is due.");
+            default -> throw new JsonParseException(parser, "Expected a value.");
         };
     }
 
-    /**
-     * Passes an object or array over.
-     *
-     * @param parser Stands at its begin.
-     * @return Nothing.
-     * @throws IOException If the text is malformed.
-     */
-    private static JsonNode skipped(JsonParser parser) throws IOException {
+    /** Skips the current object or array and returns a null node. */
+    private static JsonNode skipValue(JsonParser parser) throws IOException {
         parser.skipChildren();
         return NODES.nullNode();
     }
 
-    /**
-     * Reads an object.
-     *
-     * @param parser Stands at its begin.
-     * @param depth How many levels of its values are read.
-     * @return The object.
-     * @throws IOException If the text is malformed.
-     */
-    private static ObjectNode object(JsonParser parser, int depth) throws IOException {
+    private static ObjectNode readObject(JsonParser parser, int depth) throws IOException {
         ObjectNode object = NODES.objectNode();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
             parser.nextToken();
-            object.set(name, value(parser, depth));
+            object.set(name, readValue(parser, depth));
         }
         return object;
     }
 
-    /**
-     * Reads an array.
-     *
-     * @param parser Stands at its begin.
-     * @param depth How many levels of its values are read.
-     * @return The array.
-     * @throws IOException If the text is malformed.
-     */
-    private static ArrayNode array(JsonParser parser, int depth) throws IOException {
+    private static ArrayNode readArray(JsonParser parser, int depth) throws IOException {
         ArrayNode array = NODES.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            array.add(value(parser, depth));
+            array.add(readValue(parser, depth));
         }
         return array;
     }
 
-    /**
-     * Reads a whole number.
-     *
-     * @param parser Stands at it.
-     * @return The number, of the smallest type that holds it.
-     * @throws IOException If the text is malformed.
-     */
-    private static JsonNode wholeNumber(JsonParser parser) throws IOException {
+    /** Reads an integer into the smallest type that holds it. */
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         if (parser.getTextLength() > MAX_DIGITS) {
             return NODES.nullNode();
         }
@@ -199,13 +169,6 @@
         };
     }
 
-    /**
-     * Writes a value.
-     *
-     * @param value The value.
-     * @param generator Receives it.
-     * @throws IOException If it has no JSON form.
-     */
     private static void write(JsonNode value, JsonGenerator generator) throws IOException {
         switch (value.getNodeType()) {
             case OBJECT -> writeObject(value, generator);
@@ -216,17 +179,11 @@
             case NULL, MISSING -> generator.writeNull();
             default ->
                     throw new JsonGenerationException(
-                            value.getNodeType() + " has no JSON form.", generator);
+                            value.getNodeType() + " nodes cannot be serialized as JSON.",
+                            generator);
         }
     }
 
-    /**
-     * Writes an object.
-     *
-     * @param object The object.
-     * @param generator Receives it.
-     * @throws IOException If a value has no JSON form.
-     */
     private static void writeObject(JsonNode object, JsonGenerator generator) throws IOException {
         generator.writeStartObject();
         for (Map.Entry<String, JsonNode> each : object.properties()) {
@@ -236,13 +193,6 @@
         generator.writeEndObject();
     }
 
-    /**
-     * Writes an array.
-     *
-     * @param array The array.
-     * @param generator Receives it.
-     * @throws IOException If a value has no JSON form.
-     */
     private static void writeArray(JsonNode array, JsonGenerator generator) throws IOException {
         generator.writeStartArray();
         for (JsonNode each : array) {
--- a/src/main/java/org/martenwell/json/Problem.java
+++ b/src/main/java/org/martenwell/json/Problem.java
@@ -1,12 +1,13 @@
 package org.martenwell.json;
 
 /**
- * One problem of a document.
+ * A validation error in a document.
  *
  * @param file The name of the document.
- * @param place The JSON pointer of the place, empty for the whole document.
- * @param fault What is wrong there.
- * @param allowed What is allowed there.
+ * @param place The JSON pointer to the invalid value, empty for the root, or another location such
+ *     as a line number.
+ * @param fault The description of the error.
+ * @param allowed The description of the values allowed there.
  */
 public record Problem(String file, String place, String fault, String allowed) {
 
--- a/src/main/java/org/martenwell/json/SchemaChecker.java
+++ b/src/main/java/org/martenwell/json/SchemaChecker.java
@@ -13,25 +13,19 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Checks a document against a JSON Schema of this program's resources. */
+/** Validates documents against a JSON Schema from the class path. */
 public final class SchemaChecker {
 
-    /** The compiled schema. */
     private final Schema schema;
 
-    /**
-     * Creates a checker.
-     *
-     * @param schema The compiled schema.
-     */
     private SchemaChecker(Schema schema) {
         this.schema = schema;
     }
 
     /**
-     * Loads a schema from this program's resources.
+     * Loads a schema from the class path.
      *
-     * @param resource The absolute name of the resource.
+     * @param resource The absolute resource name.
      * @return The checker.
      */
     public static SchemaChecker of(String resource) {
@@ -42,16 +36,16 @@
                             .getSchema(text));
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INTERNAL, "Resource " + resource + " is not readable.", exception);
+                    ErrorKind.INTERNAL, "Cannot read resource " + resource + ".", exception);
         }
     }
 
     /**
-     * Checks a document.
+     * Validates a document.
      *
-     * @param file The name of the document.
-     * @param root The root of the document.
-     * @return All problems found.
+     * @param file The name of the document for error messages.
+     * @param root The root node of the document.
+     * @return The problems found, empty if the document is valid.
      */
     public List<Problem> check(String file, JsonNode root) {
         List<Problem> problems = new ArrayList<>();
@@ -61,13 +55,6 @@
         return problems;
     }
 
-    /**
-     * Turns a schema error into a problem.
-     *
-     * @param file The name of the document.
-     * @param error The schema error.
-     * @return The problem.
-     */
     private static Problem problem(String file, Error error) {
         JsonNode allowed = error.getSchemaNode();
         return new Problem(
--- a/src/main/java/org/martenwell/json/package-info.java
+++ b/src/main/java/org/martenwell/json/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Reading and checking JSON documents, comments allowed, and listing all their problems at once.
- */
+/** JSON parsing, serialization and schema validation. */
 package org.martenwell.json;
--- a/src/test/java/org/martenwell/json/JsonTest.java
+++ b/src/test/java/org/martenwell/json/JsonTest.java
@@ -18,7 +18,7 @@
 
 class JsonTest {
 
-    /** A mapper of the library, which reads the same trees. */
+    /** The reference implementation. */
     private final ObjectMapper mapper = new ObjectMapper();
 
     @ParameterizedTest
@@ -31,7 +31,7 @@
                 "{\"whole\":9007199254740993,\"long\":123456789012345678901234567890}",
                 " [ 1e3 , 0.1 ] "
             })
-    void testTreeIsThatOfTheLibraryAndIsWrittenAsItIs(String text) throws Exception {
+    void testTreeMatchesObjectMapperAndRoundTrips(String text) throws Exception {
         JsonNode tree = Json.read(bytes(text));
         assertThat(tree).isEqualTo(mapper.readTree(text));
         assertThat(Json.read(Json.write(tree))).isEqualTo(tree);
@@ -51,7 +51,7 @@
                 "// a\n1",
                 "[1,]"
             })
-    void testWhatIsNoJsonIsMalformed(String text) {
+    void testInvalidJsonIsMalformedRequest(String text) {
         assertThatThrownBy(() -> Json.read(bytes(text)))
                 .isInstanceOf(MartenwellException.class)
                 .extracting(failure -> ((MartenwellException) failure).kind())
@@ -59,14 +59,14 @@
     }
 
     @Test
-    void testDeepDocumentIsMalformedAndNoDefect() {
+    void testDeeplyNestedDocumentIsMalformedRequest() {
         String deep = "[".repeat(100_000);
         assertThatThrownBy(() -> Json.read(bytes(deep))).isInstanceOf(MartenwellException.class);
     }
 
     /**
-     * One entry of a list that another program had written held a bare control character, or bytes
-     * that are no UTF-8. The whole list was refused, and with it all targets that it named.
+     * Guards against rejecting an entire target list because one value, written by another program,
+     * contains a control character or invalid UTF-8.
      */
     @ParameterizedTest
     @ValueSource(
@@ -80,7 +80,7 @@
                 "\"\\q\"",
                 "{\"a\":1,\"a\":2}"
             })
-    void testOneValueThatCannotBeReadLeavesTheOthers(String bad) {
+    void testLenientReadSkipsInvalidValue(String bad) {
         byte[] text = ("[1," + bad + ",2]").getBytes(StandardCharsets.ISO_8859_1);
         JsonNode tree = Json.readLeniently(text);
         assertThat(tree).hasSize(3);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void testValuesOfAnySizeLeaveTheOthers() {
+    void testLenientReadSkipsOversizedValues() {
         String deep = "[".repeat(50_000) + "]".repeat(50_000);
         String digits = "9".repeat(500_000);
         JsonNode tree = Json.readLeniently(bytes("[" + deep + "," + digits + ",2]"));
@@ -98,7 +98,8 @@
     }
 
     @Property(tries = 500, seed = "36")
-    void testAnyBytesAreReadOrMalformed(@ForAll @Size(max = 60) byte[] noise) {
+    void testLenientReadOfRandomBytesSucceedsOrReportsMalformedRequest(
+            @ForAll @Size(max = 60) byte[] noise) {
         try {
             Json.readLeniently(noise);
         } catch (MartenwellException malformed) {
@@ -106,9 +107,8 @@
         }
     }
 
-    /** Any bytes within the text of one entry leave the next entry as it is. */
     @Property(tries = 500, seed = "37")
-    void testAnyBytesWithinATextLeaveTheNextValue(@ForAll @Size(max = 40) byte[] noise) {
+    void testRandomBytesInStringDoNotAffectNextValue(@ForAll @Size(max = 40) byte[] noise) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         text.writeBytes(bytes("[\""));
         for (byte each : noise) {
