--- a/src/main/java/org/martenwell/http/ConnectFailures.java
+++ b/src/main/java/org/martenwell/http/ConnectFailures.java
@@ -4,17 +4,20 @@
 import io.activej.http.HttpRequest;
 import java.net.InetSocketAddress;
 
-/** Marks requests whose connection could not be opened, so that no byte of them was written. */
+/**
+ * An HTTP client inspector that marks requests whose connection could not be opened. No byte of
+ * these was sent, so a retry is safe.
+ */
 public final class ConnectFailures extends HttpClient.JmxInspector {
 
     /** Creates an inspector. */
     public ConnectFailures() {}
 
     /**
-     * Returns whether no byte of a request was written because its connection could not be opened.
+     * Checks whether the connection of a request could not be opened, so that none of it was sent.
      *
      * @param request The request.
-     * @return {@code true} if that is certain.
+     * @return {@code true} if certainly no byte was sent.
      */
     public static boolean marked(HttpRequest request) {
         return request.getAttachmentKeys().contains(ConnectFailures.class);
--- a/src/main/java/org/martenwell/http/HeaderField.java
+++ b/src/main/java/org/martenwell/http/HeaderField.java
@@ -1,9 +1,9 @@
 package org.martenwell.http;
 
 /**
- * One header field.
+ * An HTTP header field.
  *
- * @param name The name as sent.
+ * @param name The name, in the case in which it was sent.
  * @param value The value.
  */
 public record HeaderField(String name, String value) {}
--- a/src/main/java/org/martenwell/http/HeaderFields.java
+++ b/src/main/java/org/martenwell/http/HeaderFields.java
@@ -13,28 +13,28 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Reads and filters header fields. */
+/** Names and filters of HTTP header fields. */
 public final class HeaderFields {
 
-    /** Carries the request's id in both directions. */
+    /** The id of the request, in requests and responses. */
     public static final String REQUEST_ID = "X-Request-Id";
 
-    /** Carries the outcome to callers. */
+    /** The outcome of the request, in responses to callers. */
     public static final String OUTCOME = "X-Outcome";
 
-    /** Carries the priority to engines. */
+    /** The priority of the request, in requests to engines. */
     public static final String PRIORITY = "X-Priority";
 
-    /** Says that a target refused a request before it started. */
+    /** Marks the response of a target that refused a request before starting it. */
     public static final String NOT_STARTED = "X-Not-Started";
 
-    /** Names the event after which a stream goes on. */
+    /** The id of the last event received, to resume a stream after it. */
     public static final String LAST_EVENT_ID = "Last-Event-ID";
 
-    /** Says when to come back, in seconds. */
+    /** The delay after which a retry may succeed, in seconds. */
     public static final String RETRY_AFTER = "Retry-After";
 
-    /** The fields of RFC 9110, section 7.6.1, that belong to one connection. */
+    /** The hop-by-hop fields of RFC 9110, section 7.6.1. */
     private static final Set<String> HOP_BY_HOP =
             Set.of(
                     "connection",
@@ -47,19 +47,19 @@
                     "transfer-encoding",
                     "upgrade");
 
-    /** The fields that the HTTP library writes itself or that state what it has already undone. */
+    /** The fields that the HTTP library sets itself or whose encoding it has already removed. */
     private static final Set<String> FRAMING =
             Set.of("content-length", "content-encoding", "host", "expect", "date");
 
-    /** The fields of callers that never reach a target. */
-    private static final Set<String> PRIVATE =
+    /** The request fields of callers that are not forwarded to targets. */
+    private static final Set<String> NOT_FORWARDED =
             Set.of("authorization", "x-api-key", "cookie", "accept-encoding", "x-priority");
 
     /** Not instantiated. */
     private HeaderFields() {}
 
     /**
-     * Reads all fields of a message.
+     * Returns all header fields of a message.
      *
      * @param message The message.
      * @return The fields.
@@ -73,22 +73,22 @@
     }
 
     /**
-     * Finds a field of a message.
+     * Finds a header field of a message.
      *
      * @param message The message.
      * @param name The field's name.
-     * @return The value.
+     * @return The value, empty if the field is missing.
      */
     public static Optional<String> find(HttpMessage message, String name) {
         return Optional.ofNullable(message.getHeader(HttpHeaders.of(name)));
     }
 
     /**
-     * Finds a field.
+     * Finds a header field by its name, ignoring case.
      *
      * @param fields The fields.
      * @param name The field's name.
-     * @return The first value.
+     * @return The first value, empty if the field is missing.
      */
     public static Optional<String> find(List<HeaderField> fields, String name) {
         return fields.stream()
@@ -98,22 +98,22 @@
     }
 
     /**
-     * Keeps the fields of a caller's request that go on to a target.
+     * Filters the fields of a caller's request that are forwarded to a target.
      *
      * @param fields The fields.
-     * @return The fields without those of the connection and those that are secret.
+     * @return The fields without hop-by-hop, credential and priority fields.
      */
     public static List<HeaderField> forTarget(List<HeaderField> fields) {
         return endToEnd(fields).stream()
-                .filter(field -> !PRIVATE.contains(lowerCase(field.name())))
+                .filter(field -> !NOT_FORWARDED.contains(lowerCase(field.name())))
                 .toList();
     }
 
     /**
-     * Keeps the fields of a target's answer that go on to a caller.
+     * Filters the fields of a target's response that are forwarded to a caller.
      *
      * @param fields The fields.
-     * @return The fields without those of the connection and those that the router sets itself.
+     * @return The fields without hop-by-hop fields and fields that the router sets itself.
      */
     public static List<HeaderField> forCaller(List<HeaderField> fields) {
         return endToEnd(fields).stream()
@@ -123,12 +123,7 @@
                 .toList();
     }
 
-    /**
-     * Drops the fields of one connection.
-     *
-     * @param fields The fields.
-     * @return The others.
-     */
+    /** Removes hop-by-hop fields, also those that a {@code Connection} field names. */
     private static List<HeaderField> endToEnd(List<HeaderField> fields) {
         Set<String> dropped = new HashSet<>(HOP_BY_HOP);
         dropped.addAll(FRAMING);
@@ -143,12 +138,6 @@
         return fields.stream().filter(field -> !dropped.contains(lowerCase(field.name()))).toList();
     }
 
-    /**
-     * Writes a name in lower case.
-     *
-     * @param name The name.
-     * @return The name in lower case.
-     */
     private static String lowerCase(String name) {
         return name.toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/martenwell/http/HttpAnswer.java
+++ b/src/main/java/org/martenwell/http/HttpAnswer.java
@@ -2,24 +2,21 @@
 
 import java.util.List;
 
-/** An answer that was read whole. */
+/** A response whose body was read completely. */
 public final class HttpAnswer {
 
-    /** The status. */
     private final int status;
 
-    /** The header fields. */
     private final List<HeaderField> headers;
 
-    /** The body. */
     private final byte[] body;
 
     /**
-     * Creates an answer.
+     * Creates a response.
      *
-     * @param status The status.
+     * @param status The HTTP status code.
      * @param headers The header fields.
-     * @param body The body, not copied.
+     * @param body The body, not copied; empty if there is none.
      */
     public HttpAnswer(int status, List<HeaderField> headers, byte[] body) {
         this.status = status;
@@ -27,29 +24,17 @@
         this.body = body;
     }
 
-    /**
-     * Returns the status.
-     *
-     * @return The status.
-     */
+    /** {@return the HTTP status code} */
     public int status() {
         return status;
     }
 
-    /**
-     * Returns the header fields.
-     *
-     * @return The fields.
-     */
+    /** {@return the header fields in the order received} */
     public List<HeaderField> headers() {
         return headers;
     }
 
-    /**
-     * Returns the body.
-     *
-     * @return The body, not copied.
-     */
+    /** {@return the body, not copied; empty if there is none} */
     public byte[] body() {
         return body;
     }
--- a/src/main/java/org/martenwell/http/HttpCalls.java
+++ b/src/main/java/org/martenwell/http/HttpCalls.java
@@ -14,35 +14,29 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Sends HTTP requests and reads whole answers. No request is ever sent again by itself, and
- * addresses are IP numbers, so no name service is asked.
+ * An HTTP client on an event loop. It never retries a request by itself, and it takes IP addresses
+ * only, so that no DNS lookups occur.
  */
 public final class HttpCalls implements ManagedService {
 
-    /** How long a connection may take to open. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How long an unused connection stays open. */
+    /** The time that an idle connection stays open. */
     private static final Duration KEEP_ALIVE = Duration.ofSeconds(10);
 
-    /** The client. */
     private final HttpClient client;
 
-    /**
-     * Creates calls in a loop.
-     *
-     * @param client The client.
-     */
+    /** Creates calls in a loop. */
     private HttpCalls(HttpClient client) {
         this.client = client;
     }
 
     /**
-     * Creates calls in a loop, over connections that are used again.
+     * Creates a client that reuses connections.
      *
-     * @param reactor The loop.
-     * @param maxBodyBytes The largest answer that is read whole, in bytes.
-     * @return The calls.
+     * @param reactor The event loop.
+     * @param maxBodyBytes The maximum size of a response body that is read completely, in bytes.
+     * @return The client, to be started before use.
      */
     public static HttpCalls pooled(NioReactor reactor, int maxBodyBytes) {
         return new HttpCalls(
@@ -50,24 +44,17 @@
     }
 
     /**
-     * Creates calls in a loop, each over a connection of its own, so that none meets a connection
-     * that the other side closed while it was idle.
+     * Creates a client that opens a connection for each request, so that no request fails because
+     * the server closed an idle connection.
      *
-     * @param reactor The loop.
-     * @param maxBodyBytes The largest answer that is read whole, in bytes.
-     * @return The calls.
+     * @param reactor The event loop.
+     * @param maxBodyBytes The maximum size of a response body that is read completely, in bytes.
+     * @return The client, to be started before use.
      */
     public static HttpCalls single(NioReactor reactor, int maxBodyBytes) {
         return new HttpCalls(builder(reactor, maxBodyBytes).withNoKeepAlive().build());
     }
 
-    /**
-     * Creates a builder with the settings that both kinds share.
-     *
-     * @param reactor The loop.
-     * @param maxBodyBytes The largest answer that is read whole, in bytes.
-     * @return The builder.
-     */
     private static HttpClient.Builder builder(NioReactor reactor, int maxBodyBytes) {
         return HttpClient.builder(reactor)
                 .withConnectTimeout(CONNECT_TIMEOUT)
@@ -76,14 +63,14 @@
     }
 
     /**
-     * Sends a request and reads the answer whole.
+     * Sends a request and reads the complete response.
      *
      * @param method The method.
-     * @param url The URL; its host is an IP number.
+     * @param url The URL, with an IP address as its host.
      * @param headers The header fields.
      * @param body The body, empty for none.
-     * @param timeoutMillis How long the whole exchange may take, in milliseconds.
-     * @return The answer.
+     * @param timeoutMillis The timeout for the complete exchange, in milliseconds.
+     * @return The response.
      */
     public Promise<HttpAnswer> exchange(
             HttpMethod method,
@@ -91,16 +78,16 @@
             List<HeaderField> headers,
             byte[] body,
             long timeoutMillis) {
-        Promise<HttpAnswer> answer =
+        Promise<HttpAnswer> response =
                 send(request(method, url, headers, body)).then(HttpCalls::readWhole);
-        return Promises.timeout(Duration.ofMillis(timeoutMillis), answer);
+        return Promises.timeout(Duration.ofMillis(timeoutMillis), response);
     }
 
     /**
      * Builds a request.
      *
      * @param method The method.
-     * @param url The URL; its host is an IP number.
+     * @param url The URL, with an IP address as its host.
      * @param headers The header fields.
      * @param body The body, empty for none.
      * @return The request.
@@ -121,17 +108,17 @@
      * Sends a request.
      *
      * @param request The request.
-     * @return The response, whose body is still to be read.
+     * @return The response, whose body has not been read yet.
      */
     public Promise<HttpResponse> send(HttpRequest request) {
         return client.request(request);
     }
 
     /**
-     * Reads a response whole.
+     * Reads the body of a response.
      *
      * @param response The response.
-     * @return The answer.
+     * @return The response.
      */
     public static Promise<HttpAnswer> readWhole(HttpResponse response) {
         int status = response.getCode();
--- a/src/main/java/org/martenwell/http/package-info.java
+++ b/src/main/java/org/martenwell/http/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP sides of the program share: headers, calls and answers. */
+/** HTTP client, responses and header fields. */
 package org.martenwell.http;
--- a/src/main/java/org/martenwell/service/IpAddress.java
+++ b/src/main/java/org/martenwell/service/IpAddress.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Reads addresses made of an IP number and a port, without ever asking a name service. */
+/** Parses socket addresses of an IP address and a port, without DNS lookups. */
 public final class IpAddress {
 
     /** Not instantiated. */
@@ -14,8 +14,8 @@
     /**
      * Parses an address.
      *
-     * @param text An IP number and a port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}.
-     * @return The address or empty if the text is none.
+     * @param text An IP address and a port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}.
+     * @return The address, empty if the text is invalid.
      */
     public static Optional<InetSocketAddress> parse(String text) {
         try {
@@ -29,13 +29,14 @@
     }
 
     /**
-     * Parses an address that was checked before.
+     * Parses an address that was validated before.
      *
-     * @param text An IP number and a port.
+     * @param text An IP address and a port.
      * @return The address.
      */
     public static InetSocketAddress of(String text) {
         return parse(text)
-                .orElseThrow(() -> new IllegalArgumentException(text + " is no IP address"));
+                .orElseThrow(
+                        () -> new IllegalArgumentException("Not an IP address and port: " + text));
     }
 }
--- a/src/main/java/org/martenwell/service/Listening.java
+++ b/src/main/java/org/martenwell/service/Listening.java
@@ -6,17 +6,17 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Opens the ports of servers. */
+/** Starts servers and reports addresses that cannot be bound. */
 public final class Listening {
 
     /** Not instantiated. */
     private Listening() {}
 
     /**
-     * Lets a server listen.
+     * Binds the listen addresses of a server.
      *
      * @param server The server.
-     * @return Completes if it listens, else fails with {@link ErrorKind#INPUT_OUTPUT}.
+     * @return Completes once the server listens, or fails with {@link ErrorKind#INPUT_OUTPUT}.
      */
     public static Promise<Void> start(AbstractReactiveServer server) {
         try {
@@ -26,7 +26,7 @@
             return Promise.ofException(
                     MartenwellException.of(
                             ErrorKind.INPUT_OUTPUT,
-                            "The address " + server.getListenAddresses() + " can't be used.",
+                            "Cannot listen on " + server.getListenAddresses() + ".",
                             exception));
         }
     }
--- a/src/main/java/org/martenwell/service/LoopThread.java
+++ b/src/main/java/org/martenwell/service/LoopThread.java
@@ -7,20 +7,13 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** An event loop on a thread of its own. */
+/** An event loop that runs on its own daemon thread. */
 public final class LoopThread {
 
-    /** The loop. */
     private final Eventloop loop;
 
-    /** The thread. */
     private final Thread thread;
 
-    /**
-     * Creates a loop that does not run yet.
-     *
-     * @param name The thread's name.
-     */
     private LoopThread(String name) {
         loop = Loops.named(name);
         thread = new Thread(loop, name);
@@ -28,10 +21,10 @@
     }
 
     /**
-     * Starts a loop on a new thread.
+     * Starts an event loop on a new thread.
      *
-     * @param name The thread's name.
-     * @return The running loop.
+     * @param name The name of the thread.
+     * @return The running event loop.
      */
     public static LoopThread start(String name) {
         LoopThread thread = new LoopThread(name);
@@ -40,29 +33,26 @@
         return thread;
     }
 
-    /**
-     * Returns the loop.
-     *
-     * @return The loop.
-     */
+    /** {@return the event loop} */
     public Eventloop loop() {
         return loop;
     }
 
     /**
-     * Runs an action in the loop and waits until its promise is complete. Must not be called from
-     * the loop's own thread.
+     * Runs an action on the event loop and blocks until its promise completes. Must not be called
+     * from the event loop's own thread.
      *
-     * @param action The action.
+     * @param action The action, called on the event loop.
      * @param <T> The type of the result.
-     * @return The result.
+     * @return The result; failures are thrown as {@link MartenwellException}.
      */
     public <T> T call(Supplier<Promise<T>> action) {
         try {
             return loop.<T>submit(callback -> action.get().subscribe(callback)).get();
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
-            throw MartenwellException.of(ErrorKind.INTERNAL, "Interrupted.", exception);
+            throw MartenwellException.of(
+                    ErrorKind.INTERNAL, "Interrupted while waiting for the event loop.", exception);
         } catch (ExecutionException exception) {
             if (exception.getCause() instanceof MartenwellException known) {
                 throw known;
@@ -74,7 +64,7 @@
         }
     }
 
-    /** Ends the loop and waits for its thread. */
+    /** Stops the event loop and waits for its thread to end. */
     public void stop() {
         loop.execute(
                 () -> {
--- a/src/main/java/org/martenwell/service/LoopbackPorts.java
+++ b/src/main/java/org/martenwell/service/LoopbackPorts.java
@@ -8,17 +8,17 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Finds free loopback ports for demonstrations and tests. */
+/** Allocates free loopback ports for demonstrations and tests. */
 public final class LoopbackPorts {
 
     /** Not instantiated. */
     private LoopbackPorts() {}
 
     /**
-     * Asks the system for free ports.
+     * Allocates ports. Another process may bind a port before the caller does.
      *
-     * @param count How many.
-     * @return Addresses of the form {@code 127.0.0.1:PORT}, all different.
+     * @param count The number of ports.
+     * @return Distinct addresses of the form {@code 127.0.0.1:PORT}.
      */
     public static List<String> free(int count) {
         List<ServerSocket> sockets = new ArrayList<>();
@@ -32,23 +32,20 @@
             return addresses;
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INPUT_OUTPUT, "The system gave no free port.", exception);
+                    ErrorKind.INPUT_OUTPUT, "Cannot allocate a free loopback port.", exception);
         } finally {
             sockets.forEach(LoopbackPorts::close);
         }
     }
 
-    /**
-     * Closes a socket.
-     *
-     * @param socket The socket.
-     */
     private static void close(ServerSocket socket) {
         try {
             socket.close();
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INPUT_OUTPUT, "A port could not be freed.", exception);
+                    ErrorKind.INPUT_OUTPUT,
+                    "Cannot close the socket of an allocated port.",
+                    exception);
         }
     }
 }
--- a/src/main/java/org/martenwell/service/Loops.java
+++ b/src/main/java/org/martenwell/service/Loops.java
@@ -7,39 +7,38 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.observe.LogEvent;
 
-/** Creates event loops. */
+/** Creates event loops that log uncaught exceptions. */
 public final class Loops {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(Loops.class);
 
     /** Not instantiated. */
     private Loops() {}
 
     /**
-     * Creates a loop for a thread that is still to be started.
+     * Creates an event loop for a thread that is started later.
      *
-     * @param name The thread's name.
-     * @return The loop.
+     * @param name The name of the thread.
+     * @return The event loop.
      */
     public static Eventloop named(String name) {
         return Eventloop.builder().withThreadName(name).withFatalErrorHandler(Loops::log).build();
     }
 
     /**
-     * Creates a loop for the present thread.
+     * Creates an event loop for the current thread.
      *
-     * @return The loop.
+     * @return The event loop.
      */
     public static Eventloop current() {
         return Eventloop.builder().withCurrentThread().withFatalErrorHandler(Loops::log).build();
     }
 
     /**
-     * Creates a loop for the present thread whose clock never steps, whatever happens to the time
-     * of day.
+     * Creates an event loop for the current thread whose clock is monotonic, so that changes of the
+     * system time do not affect it.
      *
-     * @return The loop.
+     * @return The event loop.
      */
     public static Eventloop monotonic() {
         return Eventloop.builder()
@@ -50,11 +49,8 @@
     }
 
     /**
-     * Logs what the loop takes for a defect. Exceptions with an error kind are none: they go on to
-     * whoever waits for the promise.
-     *
-     * @param thrown What was thrown.
-     * @param context Where it was thrown.
+     * Logs uncaught exceptions, except for {@link MartenwellException}, which the receiver of the
+     * promise handles.
      */
     private static void log(Throwable thrown, Object context) {
         if (!(thrown instanceof MartenwellException)) {
--- a/src/main/java/org/martenwell/service/ManagedService.java
+++ b/src/main/java/org/martenwell/service/ManagedService.java
@@ -2,20 +2,20 @@
 
 import io.activej.promise.Promise;
 
-/** Something that runs until it is stopped. Both methods are called in its loop's thread. */
+/** A component with a start and a stop. Both methods are called on the thread of its event loop. */
 public interface ManagedService {
 
     /**
      * Starts the service.
      *
-     * @return Completes once it runs.
+     * @return Completes once the service runs.
      */
     Promise<Void> start();
 
     /**
-     * Stops the service and frees what it holds. Stopping twice does no harm.
+     * Stops the service and releases its resources. Idempotent.
      *
-     * @return Completes once it stopped.
+     * @return Completes once the service has stopped.
      */
     Promise<Void> stop();
 }
--- a/src/main/java/org/martenwell/service/package-info.java
+++ b/src/main/java/org/martenwell/service/package-info.java
@@ -1,2 +1,2 @@
-/** Small things that every long-running part needs: start and stop, addresses and time. */
+/** Event loops, service lifecycle and addresses. */
 package org.martenwell.service;
--- a/src/test/java/org/martenwell/ArchitectureTest.java
+++ b/src/test/java/org/martenwell/ArchitectureTest.java
@@ -17,7 +17,7 @@
 class ArchitectureTest {
 
     @ArchTest
-    static final ArchRule DECISIONS_HOLD_NO_SOCKET_AND_NO_THREAD =
+    static final ArchRule DECISION_LOGIC_USES_NO_IO_OR_CONCURRENCY =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -36,7 +36,7 @@
                             "io.activej..", "java.net.http..", "java.util.concurrent..");
 
     @ArchTest
-    static final ArchRule DECISIONS_HOLD_NO_CLOCK =
+    static final ArchRule DECISION_LOGIC_READS_NO_CLOCK =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -53,7 +53,7 @@
                     .callMethod(System.class, "nanoTime");
 
     @ArchTest
-    static final ArchRule ROUTERS_KNOW_NO_STAND_IN =
+    static final ArchRule PRODUCTION_CODE_DOES_NOT_DEPEND_ON_STAND_INS =
             noClasses()
                     .that()
                     .resideOutsideOfPackages(
@@ -65,7 +65,7 @@
                     .resideInAnyPackage("org.martenwell.standin..", "org.martenwell.demo..");
 
     @ArchTest
-    static final ArchRule PLATFORM_IS_KNOWN_TO_NOBODY =
+    static final ArchRule OTHER_PACKAGES_DO_NOT_DEPEND_ON_PLATFORM =
             noClasses()
                     .that()
                     .resideOutsideOfPackage("org.martenwell.platform..")
@@ -74,7 +74,7 @@
                     .resideInAPackage("org.martenwell.platform..");
 
     @ArchTest
-    static final ArchRule PLATFORM_DECIDES_NOTHING =
+    static final ArchRule PLATFORM_DOES_NOT_DEPEND_ON_DECISION_LOGIC =
             noClasses()
                     .that()
                     .resideInAPackage("org.martenwell.platform..")
@@ -90,7 +90,7 @@
                             "org.martenwell.peer..");
 
     @ArchTest
-    static final ArchRule EXCHANGES_WITH_TARGETS_BEGIN_AT_THEIR_TABLE =
+    static final ArchRule ONLY_TARGET_TABLE_CREATES_TARGET_CLIENTS =
             noClasses()
                     .that()
                     .resideInAPackage("org.martenwell.gateway..")
@@ -102,6 +102,6 @@
                     .callConstructorWhere(target(owner(type(InternalHttpClient.class))));
 
     @ArchTest
-    static final ArchRule PACKAGES_FORM_NO_CYCLE =
+    static final ArchRule PACKAGES_ARE_FREE_OF_CYCLES =
             slices().matching("org.martenwell.(*)..").should().beFreeOfCycles();
 }
--- a/src/test/java/org/martenwell/service/Conditions.java
+++ b/src/test/java/org/martenwell/service/Conditions.java
@@ -2,30 +2,29 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Waits in tests for what comes in its own time. */
+/** Waits in tests until asynchronous conditions hold. */
 public final class Conditions {
 
-    /** How often a condition is looked at before a test fails: as often as a slow machine needs. */
-    private static final int MAX_LOOKS = 3_000;
+    /** The maximum number of checks, which allows 30 s in total for slow machines. */
+    private static final int MAX_CHECKS = 3_000;
 
-    /** How long it is from look to look, in milliseconds. */
-    private static final long LOOK_MILLIS = 10;
+    private static final long CHECK_INTERVAL_MILLIS = 10;
 
     private Conditions() {}
 
-    /** Waits until a condition holds. */
+    /** Blocks until a condition holds, or fails the test. */
     public static void await(BooleanSupplier condition) {
-        for (int look = 0; look < MAX_LOOKS; look++) {
+        for (int check = 0; check < MAX_CHECKS; check++) {
             if (condition.getAsBoolean()) {
                 return;
             }
             try {
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(CHECK_INTERVAL_MILLIS);
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
                 throw new AssertionError(exception);
             }
         }
-        throw new AssertionError("It did not come.");
+        throw new AssertionError("The condition did not hold within 30 s.");
     }
 }
