--- a/src/main/java/org/martenwell/demo/Demo.java
+++ b/src/main/java/org/martenwell/demo/Demo.java
@@ -80,11 +80,7 @@
         }
     }
 
-    /**
-     * Prints where to call.
-     *
-     * @param fleet The fleet.
-     */
+    /** Prints where to call. */
     private void greet(DemoFleet fleet) {
         for (var settings : fleet.routerSettings()) {
             out.printf(
@@ -100,12 +96,7 @@
         out.flush();
     }
 
-    /**
-     * Looks at the numbers until the load ends.
-     *
-     * @param loadLoop The loop that sends.
-     * @param generator What sends.
-     */
+    /** Looks at the numbers until the load ends. */
     private void watch(LoopThread loadLoop, LoadGenerator generator) {
         long end = System.currentTimeMillis() + (long) (seconds * 1000);
         for (int look = 1; System.currentTimeMillis() < end; look++) {
@@ -123,25 +114,13 @@
         }
     }
 
-    /**
-     * Returns the gap between the organisations that always have work waiting.
-     *
-     * @param tokens The tokens by organisation.
-     * @return The largest difference.
-     */
+    /** Returns the gap between the organisations that always have work waiting. */
     private static long gap(Map<String, Long> tokens) {
         List<Long> values = DemoSite.backlogged().stream().map(tokens::get).sorted().toList();
         return values.get(values.size() - 1) - values.get(0);
     }
 
-    /**
-     * Sums up.
-     *
-     * @param before The numbers after the warm-up.
-     * @param after The numbers at the end of the load.
-     * @param generator What sent the load.
-     * @return The summary.
-     */
+    /** Sums up. */
     private DemoSummary summary(FleetSample before, FleetSample after, LoadGenerator generator) {
         Map<String, LoadTotals> totals = generator.totals();
         double elapsed = (after.atMillis() - before.atMillis()) / 1000.0;
@@ -171,25 +150,14 @@
                 new TreeMap<>(generator.delivered()));
     }
 
-    /**
-     * Subtracts counts.
-     *
-     * @param before The counts before.
-     * @param after The counts after.
-     * @return The differences.
-     */
+    /** Subtracts counts. */
     private static Map<String, Long> difference(Map<String, Long> before, Map<String, Long> after) {
         Map<String, Long> difference = new TreeMap<>();
         after.forEach((key, count) -> difference.put(key, count - before.getOrDefault(key, 0L)));
         return difference;
     }
 
-    /**
-     * Sums up times to the first token.
-     *
-     * @param totals The totals.
-     * @return The times in milliseconds, by percentile.
-     */
+    /** Sums up times to the first token. */
     private static Map<String, Long> percentiles(Collection<LoadTotals> totals) {
         Histogram all = new Histogram(3);
         totals.forEach(each -> all.add(each.firstTokenMicros()));
--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -50,45 +50,31 @@
     /** The longest wait for the routers to be ready, in milliseconds. */
     private static final long READY_MILLIS = 15_000;
 
-    /** The site. */
     private final DemoSite site;
 
     /** The loops, all to be stopped. */
     private final List<LoopThread> loops = new ArrayList<>();
 
-    /** The platform's loop. */
     private final LoopThread platformLoop;
 
-    /** The platform. */
     private final StandinPlatform platform;
 
-    /** The targets. */
     private final List<StandinTarget> targets = new ArrayList<>();
 
     /** The loops of the targets, in their order. */
     private final List<LoopThread> targetLoops = new ArrayList<>();
 
-    /** The routers. */
     private final List<RouterDaemon> routers = new ArrayList<>();
 
     /** The loops of the routers, in their order. */
     private final List<LoopThread> routerLoops = new ArrayList<>();
 
-    /** The settings of the routers. */
     private final List<RouterSettings> routerSettings;
 
-    /** The settings of the targets. */
     private final List<TargetSettings> targetSettings;
 
-    /** The platform's address. */
     private final String platformAddress;
 
-    /**
-     * Creates a fleet that does not run yet.
-     *
-     * @param site The site.
-     * @param routerCount How many routers.
-     */
     private DemoFleet(DemoSite site, int routerCount) {
         this.site = site;
         int targetCount = DemoSite.REPLICAS + DemoSite.APPLICATIONS;
@@ -124,29 +110,17 @@
         loops.forEach(LoopThread::stop);
     }
 
-    /**
-     * Returns the callers' addresses of the routers.
-     *
-     * @return The addresses.
-     */
+    /** {@return the callers' addresses of the routers} */
     public List<String> callerAddresses() {
         return routerSettings.stream().map(RouterSettings::callerAddress).toList();
     }
 
-    /**
-     * Returns the settings of the routers.
-     *
-     * @return The settings.
-     */
+    /** {@return the settings of the routers} */
     public List<RouterSettings> routerSettings() {
         return routerSettings;
     }
 
-    /**
-     * Returns what the engines and plain services ran.
-     *
-     * @return A record for each request at each target.
-     */
+    /** {@return what the engines and plain services ran} */
     public List<RunRecord> runs() {
         List<RunRecord> runs = new ArrayList<>();
         for (int index = 0; index < targets.size(); index++) {
@@ -271,7 +245,6 @@
                 System.currentTimeMillis(), bytes, bytesByKind, produced, possible, calls);
     }
 
-    /** Starts all parts. */
     private void start() {
         platformLoop.call(platform::start);
         LoopThread shared = null;
@@ -291,11 +264,7 @@
         awaitReady();
     }
 
-    /**
-     * Starts a router in a loop of its own.
-     *
-     * @param settings Its settings.
-     */
+    /** Starts a router in a loop of its own. */
     private void startRouter(RouterSettings settings) {
         LoopThread loop = startLoop(settings.name());
         RouterDaemon router = create(settings, loop);
@@ -304,13 +273,7 @@
         routerLoops.add(loop);
     }
 
-    /**
-     * Creates a router that does not run yet.
-     *
-     * @param settings Its settings.
-     * @param loop Its loop.
-     * @return The router.
-     */
+    /** Creates a router that does not run yet. */
     private static RouterDaemon create(RouterSettings settings, LoopThread loop) {
         return loop.call(
                 () ->
@@ -367,25 +330,14 @@
         }
     }
 
-    /**
-     * Starts a loop that {@link #stop} stops.
-     *
-     * @param name The thread's name.
-     * @return The loop.
-     */
+    /** Starts a loop that {@link #stop} stops. */
     private LoopThread startLoop(String name) {
         LoopThread loop = LoopThread.start(name);
         loops.add(loop);
         return loop;
     }
 
-    /**
-     * Builds a router's settings.
-     *
-     * @param index The router's index.
-     * @param ports Its addresses for callers, operators and peers.
-     * @return The settings.
-     */
+    /** Builds a router's settings. */
     private RouterSettings settings(int index, List<String> ports) {
         RouterLimits limits =
                 new RouterLimits(4 << 20, 20_000, 10_000, 64L << 20, 30_000, 60_000, 0);
@@ -402,11 +354,7 @@
                 Optional.of(limits));
     }
 
-    /**
-     * Builds the platform's list of boxes.
-     *
-     * @return The boxes.
-     */
+    /** Builds the platform's list of boxes. */
     private List<Box> boxes() {
         List<Box> boxes = new ArrayList<>();
         for (RouterSettings settings : routerSettings) {
--- a/src/main/java/org/martenwell/demo/DemoSite.java
+++ b/src/main/java/org/martenwell/demo/DemoSite.java
@@ -66,11 +66,7 @@
     /** The longest answer, in tokens. */
     private static final int MAX_TOKENS = 400;
 
-    /**
-     * Returns the site as it is today.
-     *
-     * @return The site.
-     */
+    /** {@return the site as it is today} */
     public static DemoSite coldChain() {
         return new DemoSite(36, 40, "service == '" + SERVICE + "' ? allow(7) : allow(5)");
     }
@@ -182,24 +178,12 @@
         return loads;
     }
 
-    /**
-     * Returns the names of the organisations that always have work waiting.
-     *
-     * @return The names.
-     */
+    /** {@return the names of the organisations that always have work waiting} */
     static List<String> backlogged() {
         return LARGE;
     }
 
-    /**
-     * Builds the load of one organisation.
-     *
-     * @param organisation The organisation.
-     * @param routers The routers that it uses.
-     * @param concurrency How many requests it keeps open or 0.
-     * @param perSecond How many requests it sends a second otherwise.
-     * @return The load.
-     */
+    /** Builds the load of one organisation. */
     private static OrganisationLoad load(
             String organisation, List<String> routers, int concurrency, double perSecond) {
         return new OrganisationLoad(
@@ -213,11 +197,7 @@
                 200);
     }
 
-    /**
-     * Builds the organisations.
-     *
-     * @return The organisations.
-     */
+    /** Builds the organisations. */
     private static List<Organisation> organisations() {
         List<String> names = new ArrayList<>(LARGE);
         for (int index = 0; index < SMALL; index++) {
@@ -234,12 +214,7 @@
                 .toList();
     }
 
-    /**
-     * Builds the configuration of a target.
-     *
-     * @param settings The settings of the stand-in.
-     * @return The target.
-     */
+    /** Builds the configuration of a target. */
     private static Target target(TargetSettings settings) {
         int domain = Math.floorMod(settings.name().hashCode(), DOMAINS.size());
         return new Target(
--- a/src/main/java/org/martenwell/service/IpAddress.java
+++ b/src/main/java/org/martenwell/service/IpAddress.java
@@ -37,6 +37,8 @@
     public static InetSocketAddress of(String text) {
         return parse(text)
                 .orElseThrow(
-                        () -> new IllegalArgumentException("Not an IP address and port: " + text));
+                        () ->
+                                new IllegalArgumentException(
+                                        text + " is not an IP address and port"));
     }
 }
--- a/src/main/java/org/martenwell/standin/BoxChange.java
+++ b/src/main/java/org/martenwell/standin/BoxChange.java
@@ -3,10 +3,10 @@
 import org.martenwell.objects.BoxState;
 
 /**
- * A change of a box that is not shown yet.
+ * A pending state change of a box.
  *
- * @param name The box's name.
+ * @param name The name of the box.
  * @param state The new state.
- * @param shownAt When it is shown.
+ * @param shownAt The time from which the list shows it, in milliseconds of the event loop.
  */
 record BoxChange(String name, BoxState state, long shownAt) {}
--- a/src/main/java/org/martenwell/standin/BoxList.java
+++ b/src/main/java/org/martenwell/standin/BoxList.java
@@ -5,23 +5,23 @@
 import org.martenwell.objects.Box;
 import org.martenwell.objects.BoxState;
 
-/** The box list of a stand-in platform, which shows changes only after a lag. */
+/**
+ * The box list of the platform stand-in. Changes become visible after a delay, as on the real
+ * platform.
+ */
 final class BoxList {
 
-    /** How late changes are shown, in milliseconds. */
     private final long lagMillis;
 
-    /** The boxes as they are shown. */
     private final List<Box> shown;
 
-    /** The changes that are not shown yet. */
     private final List<BoxChange> pending = new ArrayList<>();
 
     /**
      * Creates a list.
      *
-     * @param boxes The boxes.
-     * @param lagMillis How late changes are shown, in milliseconds.
+     * @param boxes The initial boxes.
+     * @param lagMillis The delay until a change is visible, in milliseconds.
      */
     BoxList(List<Box> boxes, long lagMillis) {
         this.shown = new ArrayList<>(boxes);
@@ -29,21 +29,21 @@
     }
 
     /**
-     * Changes the state of a box.
+     * Schedules a state change of a box.
      *
-     * @param name The box's name.
-     * @param state The state.
-     * @param now The time.
+     * @param name The name of the box.
+     * @param state The new state.
+     * @param now The current time, in milliseconds.
      */
     void change(String name, BoxState state, long now) {
         pending.add(new BoxChange(name, state, now + lagMillis));
     }
 
     /**
-     * Returns the boxes.
+     * Applies the changes that are due and returns the list.
      *
-     * @param now The time.
-     * @return The boxes as they are shown.
+     * @param now The current time, in milliseconds.
+     * @return The boxes as visible at that time.
      */
     List<Box> boxes(long now) {
         for (BoxChange change : List.copyOf(pending)) {
@@ -55,13 +55,6 @@
         return List.copyOf(shown);
     }
 
-    /**
-     * Returns a box in another state.
-     *
-     * @param box The box.
-     * @param change The change.
-     * @return The changed box.
-     */
     private static Box with(Box box, BoxChange change) {
         return new Box(box.name(), box.role(), box.address(), box.failureDomain(), change.state());
     }
--- a/src/main/java/org/martenwell/standin/ChatRequest.java
+++ b/src/main/java/org/martenwell/standin/ChatRequest.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A chat in the OpenAI form.
+ * A chat completion request of the OpenAI API.
  *
- * @param model The model.
- * @param stream {@code true} for a stream.
- * @param messages The messages.
+ * @param model The name of the model.
+ * @param stream {@code true} to request a stream of events.
+ * @param messages The messages of the chat.
  */
 record ChatRequest(String model, boolean stream, List<CompletionMessage> messages) {}
--- a/src/main/java/org/martenwell/standin/CompletionChoice.java
+++ b/src/main/java/org/martenwell/standin/CompletionChoice.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * One choice of an OpenAI answer.
+ * A choice in a completion response of the OpenAI API.
  *
- * @param index Always 0.
- * @param delta The next piece of a chat.
- * @param message The whole message of a chat.
+ * @param index The index of the choice, always 0.
+ * @param delta The next part of a streamed chat message.
+ * @param message The complete chat message, if not streamed.
  * @param text The text of a plain completion.
- * @param finishReason Why it ended.
+ * @param finishReason The reason for the end of the text; empty before the last event.
  */
 record CompletionChoice(
         int index,
--- a/src/main/java/org/martenwell/standin/CompletionChunk.java
+++ b/src/main/java/org/martenwell/standin/CompletionChunk.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * A piece of an OpenAI answer, or a whole one.
+ * A completion response of the OpenAI API, or an event of a streamed one.
  *
- * @param id The answer's id.
- * @param object The kind of object.
- * @param created When it was created, in seconds.
- * @param model The model.
- * @param choices The one choice.
- * @param usage The tokens used, in whole answers.
+ * @param id The id of the completion.
+ * @param object The object type as defined by the API.
+ * @param created The creation time, in seconds since the epoch.
+ * @param model The name of the model.
+ * @param choices A single choice.
+ * @param usage The token usage; empty in events of a stream.
  */
 record CompletionChunk(
         String id,
--- a/src/main/java/org/martenwell/standin/CompletionForms.java
+++ b/src/main/java/org/martenwell/standin/CompletionForms.java
@@ -6,34 +6,30 @@
 import java.util.Optional;
 import org.martenwell.json.Json;
 
-/** Writes answers in the OpenAI form. */
+/** Serializes the responses of an engine stand-in in the format of the OpenAI API. */
 final class CompletionForms {
 
-    /** How many bytes of a prompt make a token. */
+    /** The number of prompt bytes counted as one token. */
     private static final int BYTES_PER_TOKEN = 4;
 
-    /** The event that ends a stream. */
     private static final String END = "data: [DONE]\n\n";
 
-    /** {@code true} for chats, {@code false} for plain completions. */
     private final boolean chat;
 
-    /** The answer's id. */
     private final String id;
 
-    /** The model. */
     private final String model;
 
-    /** When the answer was created, in seconds. */
+    /** The creation time, in seconds since the epoch. */
     private final long created;
 
     /**
-     * Creates forms for one answer.
+     * Creates a serializer for the response to one request.
      *
-     * @param chat {@code true} for chats, {@code false} for plain completions.
-     * @param id The answer's id.
-     * @param model The model.
-     * @param created When the answer was created, in seconds.
+     * @param chat {@code true} for chat completions, {@code false} for text completions.
+     * @param id The id of the completion.
+     * @param model The name of the model.
+     * @param created The creation time, in seconds since the epoch.
      */
     CompletionForms(boolean chat, String id, String model, long created) {
         this.chat = chat;
@@ -43,21 +39,21 @@
     }
 
     /**
-     * Writes the event of one token.
+     * Serializes the event of one token.
      *
-     * @param index The token's index.
-     * @param token The token.
-     * @return The event in UTF-8.
+     * @param index The index of the token, also the id of the event.
+     * @param token The text of the token.
+     * @return The event, encoded in UTF-8.
      */
     byte[] event(int index, String token) {
         return event(index, choice(token, true, Optional.empty()));
     }
 
     /**
-     * Writes the events that end a stream.
+     * Serializes the events at the end of a stream.
      *
-     * @param index The number of tokens.
-     * @return The events in UTF-8.
+     * @param index The number of tokens sent, also the id of the last event.
+     * @return The events, encoded in UTF-8.
      */
     byte[] end(int index) {
         byte[] last = event(index, choice("", true, Optional.of("stop")));
@@ -68,13 +64,13 @@
     }
 
     /**
-     * Writes a whole answer.
+     * Serializes a complete response.
      *
-     * @param generation The request.
-     * @param promptBytes The size of the prompt, in bytes.
-     * @return The answer in UTF-8.
+     * @param generation The finished generation.
+     * @param promptBytes The size of the request body, in bytes.
+     * @return The response body, encoded in UTF-8.
      */
-    byte[] whole(Generation generation, int promptBytes) {
+    byte[] response(Generation generation, int promptBytes) {
         int prompt = promptBytes / BYTES_PER_TOKEN;
         int count = generation.tokens().size();
         return Json.write(
@@ -87,13 +83,6 @@
                         Optional.of(new CompletionUsage(prompt, count, prompt + count))));
     }
 
-    /**
-     * Writes one event.
-     *
-     * @param index The event's number.
-     * @param choice The choice.
-     * @return The event in UTF-8.
-     */
     private byte[] event(int index, CompletionChoice choice) {
         CompletionChunk chunk =
                 new CompletionChunk(
@@ -107,15 +96,7 @@
         return ("id: " + index + "\ndata: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /**
-     * Builds a choice.
-     *
-     * @param content The text.
-     * @param piece {@code true} for a piece, {@code false} for a whole answer.
-     * @param finish Why it ended.
-     * @return The choice.
-     */
-    private CompletionChoice choice(String content, boolean piece, Optional<String> finish) {
+    private CompletionChoice choice(String content, boolean streamed, Optional<String> finish) {
         if (!chat) {
             return new CompletionChoice(
                     0, Optional.empty(), Optional.empty(), Optional.of(content), finish);
@@ -124,8 +105,8 @@
                 Optional.of(new CompletionMessage("assistant", content));
         return new CompletionChoice(
                 0,
-                piece ? message : Optional.empty(),
-                piece ? Optional.empty() : message,
+                streamed ? message : Optional.empty(),
+                streamed ? Optional.empty() : message,
                 Optional.empty(),
                 finish);
     }
--- a/src/main/java/org/martenwell/standin/CompletionMessage.java
+++ b/src/main/java/org/martenwell/standin/CompletionMessage.java
@@ -1,9 +1,9 @@
 package org.martenwell.standin;
 
 /**
- * A message of a chat, or a piece of one.
+ * A chat message, or a part of one in a stream.
  *
- * @param role Who speaks.
+ * @param role The role of the author, such as {@code user} or {@code assistant}.
  * @param content The text.
  */
 record CompletionMessage(String role, String content) {}
--- a/src/main/java/org/martenwell/standin/CompletionUsage.java
+++ b/src/main/java/org/martenwell/standin/CompletionUsage.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The tokens that an answer used.
+ * The token usage of a completion.
  *
- * @param promptTokens The prompt's tokens.
- * @param completionTokens The answer's tokens.
- * @param totalTokens Both.
+ * @param promptTokens The number of prompt tokens.
+ * @param completionTokens The number of generated tokens.
+ * @param totalTokens The sum of both.
  */
 record CompletionUsage(
         @JsonProperty("prompt_tokens") int promptTokens,
--- a/src/main/java/org/martenwell/standin/EngineCore.java
+++ b/src/main/java/org/martenwell/standin/EngineCore.java
@@ -10,50 +10,47 @@
 import java.util.Random;
 import java.util.TreeSet;
 
-/** A stand-in engine that batches continuously: each step gives every running request one token. */
+/**
+ * A simulated engine with continuous batching: each step generates one token for every running
+ * request.
+ */
 final class EngineCore {
 
-    /** The spread of log-normal lengths. */
+    /** The sigma of the log-normal distribution of response lengths. */
     private static final double SIGMA = 1.0;
 
-    /** How long ended requests can still be resumed, in milliseconds. */
-    private static final long KEEP_MILLIS = 60_000;
+    /** The time for which streams of finished requests can be resumed, in milliseconds. */
+    private static final long RETENTION_MILLIS = 60_000;
 
-    /** The settings. */
     private final TargetSettings settings;
 
-    /** Draws lengths. */
     private final Random random;
 
-    /** The requests by id. */
     private final Map<String, Generation> generations = new LinkedHashMap<>();
 
-    /** How often each request was started. */
+    /** The number of submissions, by request id. */
     private final Map<String, Integer> starts = new LinkedHashMap<>();
 
-    /** The requests that wait, the most urgent first. */
+    /** The queued requests, by descending priority, then by arrival. */
     private final TreeSet<Generation> waiting =
             new TreeSet<>(
                     Comparator.comparingInt(Generation::priority)
                             .reversed()
                             .thenComparingLong(Generation::number));
 
-    /** The requests that run. */
     private final List<Generation> running = new ArrayList<>();
 
-    /** The number of the next request. */
+    /** The sequence number of the last request. */
     private long number;
 
-    /** Tokens produced, and the most that could have been. */
     private long produced;
 
-    /** The steps made. */
     private long steps;
 
     /**
      * Creates an idle engine.
      *
-     * @param settings The settings.
+     * @param settings The settings of the target.
      */
     EngineCore(TargetSettings settings) {
         this.settings = settings;
@@ -61,50 +58,50 @@
     }
 
     /**
-     * Takes a request.
+     * Queues a request and starts it if a slot is free.
      *
-     * @param id The request's id.
-     * @param priority The request's priority.
-     * @param limit The most tokens that the caller wants, or 0.
-     * @return The request.
+     * @param id The request id.
+     * @param priority The priority; higher values run first.
+     * @param limit The maximum number of tokens to generate, or 0 for no limit.
+     * @return The generation.
      */
     Generation submit(String id, int priority, int limit) {
         number++;
         starts.merge(id, 1, Integer::sum);
-        Generation generation = new Generation(id, priority, number, length(limit));
+        Generation generation = new Generation(id, priority, number, drawLength(limit));
         generations.put(id, generation);
         waiting.add(generation);
-        fill();
+        startQueued();
         return generation;
     }
 
     /**
-     * Finds a request.
+     * Finds a queued, running or recently finished request.
      *
-     * @param id The request's id.
-     * @return The request.
+     * @param id The request id.
+     * @return The generation of the request, empty if it is unknown or has expired.
      */
     Optional<Generation> find(String id) {
         return Optional.ofNullable(generations.get(id));
     }
 
     /**
-     * Cancels a request.
+     * Cancels a request and starts the next one.
      *
-     * @param generation The request.
-     * @param now The time.
+     * @param generation The generation to cancel.
+     * @param now The current time, in milliseconds.
      */
     void cancel(Generation generation, long now) {
-        generation.end(GenerationState.CANCELLED, now);
+        generation.finish(GenerationState.CANCELLED, now);
         waiting.remove(generation);
         running.remove(generation);
-        fill();
+        startQueued();
     }
 
     /**
-     * Makes one step.
+     * Generates a token for every running request.
      *
-     * @param now The time.
+     * @param now The current time, in milliseconds.
      */
     void step(long now) {
         steps++;
@@ -112,54 +109,36 @@
             generation.produce(now);
             produced++;
         }
-        running.removeIf(Generation::over);
-        fill();
+        running.removeIf(Generation::isFinished);
+        startQueued();
         if (steps % 1_000 == 0) {
-            generations.values().removeIf(each -> each.endedBefore(now - KEEP_MILLIS));
+            generations.values().removeIf(each -> each.finishedBefore(now - RETENTION_MILLIS));
         }
     }
 
-    /**
-     * Returns how many requests run.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of running requests} */
     int running() {
         return running.size();
     }
 
-    /**
-     * Returns how many requests wait.
-     *
-     * @return The number of requests.
-     */
+    /** {@return the number of queued requests} */
     int waiting() {
         return waiting.size();
     }
 
-    /**
-     * Returns how many tokens were produced.
-     *
-     * @return The number since the start.
-     */
+    /** {@return the number of tokens generated since the start} */
     long produced() {
         return produced;
     }
 
     /**
-     * Returns how many tokens could have been produced.
-     *
-     * @return The number since the start.
+     * {@return the number of tokens that a fully used engine would have generated since the start}
      */
     long possible() {
         return steps * settings.slots();
     }
 
-    /**
-     * Returns what was run.
-     *
-     * @return A record for each request.
-     */
+    /** {@return a record for each request that the engine remembers} */
     List<RunRecord> records() {
         Collection<Generation> all = generations.values();
         return all.stream()
@@ -174,22 +153,17 @@
                 .toList();
     }
 
-    /** Starts requests while there are free places in the batch. */
-    private void fill() {
+    /** Starts queued requests while slots are free. */
+    private void startQueued() {
         while (running.size() < settings.slots() && !waiting.isEmpty()) {
             Generation next = waiting.pollFirst();
-            next.run();
+            next.start();
             running.add(next);
         }
     }
 
-    /**
-     * Draws the length of an answer.
-     *
-     * @param limit The most tokens that the caller wants, or 0.
-     * @return The length in tokens.
-     */
-    private int length(int limit) {
+    /** Draws the length of a response, in tokens. */
+    private int drawLength(int limit) {
         double drawn = settings.medianTokens() * Math.exp(SIGMA * random.nextGaussian());
         int bounded = (int) Math.max(1, Math.min(settings.maxTokens(), drawn));
         return limit > 0 ? Math.min(limit, bounded) : bounded;
--- a/src/main/java/org/martenwell/standin/EventSource.java
+++ b/src/main/java/org/martenwell/standin/EventSource.java
@@ -7,30 +7,26 @@
 import java.io.IOException;
 import java.util.function.IntPredicate;
 
-/** Reads a stand-in engine's request as events, for one connection. */
+/** The events of a generation, sent over one connection. */
 final class EventSource {
 
-    /** The request. */
     private final Generation generation;
 
-    /** Writes the events. */
     private final CompletionForms forms;
 
-    /** The index of the next token. */
     private int next;
 
-    /** How many events this connection has carried. */
+    /** The number of events sent over this connection. */
     private int sent;
 
-    /** {@code true} once the end was sent. */
     private boolean ended;
 
     /**
-     * Creates a source.
+     * Creates a source of events.
      *
-     * @param generation The request.
-     * @param forms Writes the events.
-     * @param from The index of the first token.
+     * @param generation The generation.
+     * @param forms Serializes the events.
+     * @param from The index of the first token to send.
      */
     EventSource(Generation generation, CompletionForms forms, int from) {
         this.generation = generation;
@@ -39,10 +35,11 @@
     }
 
     /**
-     * Returns the next events.
+     * Waits for further tokens and returns their events.
      *
-     * @param shouldDrop Decides by the number of events sent whether the connection breaks.
-     * @param reactor Gives the time.
+     * @param shouldDrop Returns, for the number of events sent, {@code true} to break the
+     *     connection.
+     * @param reactor Provides the current time.
      * @return The events, or {@code null} at the end.
      */
     Promise<ByteBuf> next(IntPredicate shouldDrop, Reactor reactor) {
@@ -54,17 +51,14 @@
                 .then(
                         () -> {
                             if (shouldDrop.test(sent)) {
-                                return Promise.ofException(new IOException("dropped"));
+                                return Promise.ofException(
+                                        new IOException("Connection dropped by fault injection."));
                             }
                             return Promise.of(available());
                         });
     }
 
-    /**
-     * Writes all events that are there.
-     *
-     * @return The events.
-     */
+    /** Serializes the events of all tokens generated but not sent yet. */
     private ByteBuf available() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (next < generation.tokens().size()) {
@@ -72,7 +66,7 @@
             next++;
             sent++;
         }
-        if (generation.over()) {
+        if (generation.isFinished()) {
             ended = true;
             if (generation.state() == GenerationState.ENDED) {
                 bytes.writeBytes(forms.end(next));
--- a/src/main/java/org/martenwell/standin/Generation.java
+++ b/src/main/java/org/martenwell/standin/Generation.java
@@ -5,43 +5,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request inside a stand-in engine. It goes on when its reader's connection breaks. */
+/** A request in a simulated engine. It continues when the connection of its reader breaks. */
 final class Generation {
 
-    /** The request's id. */
     private final String id;
 
-    /** The request's priority. */
     private final int priority;
 
-    /** The order of arrival. */
     private final long number;
 
-    /** How many tokens it will produce. */
     private final int total;
 
-    /** The tokens produced. */
     private final List<String> tokens = new ArrayList<>();
 
-    /** Those who wait for more tokens. */
+    /** The readers that wait for further tokens. */
     private final List<SettablePromise<Void>> waiters = new ArrayList<>();
 
-    /** How far it is. */
     private GenerationState state = GenerationState.WAITING;
 
-    /** When it was last read, or started to wait for a reader. */
     private long readAt;
 
-    /** When it ended. */
-    private long endedAt;
+    private long finishedAt;
 
     /**
-     * Creates a request that waits.
+     * Creates a queued request.
      *
-     * @param id The request's id.
-     * @param priority The request's priority.
-     * @param number The order of arrival.
-     * @param total How many tokens it will produce.
+     * @param id The request id.
+     * @param priority The priority; higher values run first.
+     * @param number The sequence number, in order of arrival.
+     * @param total The number of tokens to generate.
      */
     Generation(String id, int priority, long number, int total) {
         this.id = id;
@@ -50,113 +42,89 @@
         this.total = total;
     }
 
-    /**
-     * Returns the request's id.
-     *
-     * @return The id.
-     */
+    /** {@return the request id} */
     String id() {
         return id;
     }
 
-    /**
-     * Returns the request's priority.
-     *
-     * @return The priority.
-     */
+    /** {@return the priority; higher values run first} */
     int priority() {
         return priority;
     }
 
-    /**
-     * Returns the order of arrival.
-     *
-     * @return The number.
-     */
+    /** {@return the sequence number, in order of arrival} */
     long number() {
         return number;
     }
 
-    /**
-     * Returns how far it is.
-     *
-     * @return The state.
-     */
+    /** {@return the current state} */
     GenerationState state() {
         return state;
     }
 
-    /**
-     * Returns the tokens produced.
-     *
-     * @return The tokens.
-     */
+    /** {@return the tokens generated so far} */
     List<String> tokens() {
         return tokens;
     }
 
-    /** Starts it. */
-    void run() {
+    /** Marks the request as running. */
+    void start() {
         state = GenerationState.RUNNING;
     }
 
     /**
-     * Produces one token.
+     * Generates one token and finishes after the last one.
      *
-     * @param now The time.
+     * @param now The current time, in milliseconds.
      */
     void produce(long now) {
         tokens.add("t" + tokens.size() + "-" + id.substring(Math.max(0, id.length() - 4)) + " ");
         if (tokens.size() >= total) {
-            end(GenerationState.ENDED, now);
+            finish(GenerationState.ENDED, now);
         } else {
-            wake();
+            wakeWaiters();
         }
     }
 
     /**
-     * Ends it.
+     * Finishes the request unless it is finished already.
      *
-     * @param how Whole or cancelled.
-     * @param now The time.
+     * @param how {@link GenerationState#ENDED} or {@link GenerationState#CANCELLED}.
+     * @param now The current time, in milliseconds.
      */
-    void end(GenerationState how, long now) {
+    void finish(GenerationState how, long now) {
         if (state == GenerationState.WAITING || state == GenerationState.RUNNING) {
             state = how;
-            endedAt = now;
-            wake();
+            finishedAt = now;
+            wakeWaiters();
         }
     }
 
-    /**
-     * Returns whether it ended.
-     *
-     * @return {@code true} if so.
-     */
-    boolean over() {
+    /** {@return {@code true} if the request is complete or cancelled} */
+    boolean isFinished() {
         return state == GenerationState.ENDED || state == GenerationState.CANCELLED;
     }
 
     /**
-     * Returns whether it ended long ago.
+     * Checks whether the request finished before a given time.
      *
-     * @param before The time before which that is long ago.
-     * @return {@code true} if so.
+     * @param before The time, in milliseconds.
+     * @return {@code true} if it finished earlier.
      */
-    boolean endedBefore(long before) {
-        return over() && endedAt < before;
+    boolean finishedBefore(long before) {
+        return isFinished() && finishedAt < before;
     }
 
     /**
-     * Waits for more than some number of tokens, or for the end.
+     * Waits until more than a given number of tokens exist or the request is finished.
      *
      * @param count The number of tokens.
-     * @param now The time.
-     * @return Completes when there are more.
+     * @param now The current time, in milliseconds.
+     * @return Completes once there are more tokens or no more will follow.
      */
     Promise<Void> awaitMore(int count, long now) {
         readAt = now;
-        if (tokens.size() > count || over()) {
+        if (tokens.size() > count || isFinished()) {
             return Promise.complete();
         }
         SettablePromise<Void> waiter = new SettablePromise<>();
@@ -164,26 +132,17 @@
         return waiter;
     }
 
-    /**
-     * Returns when it was last read.
-     *
-     * @return The time.
-     */
+    /** {@return the time of the last read, in milliseconds} */
     long readAt() {
         return readAt;
     }
 
-    /**
-     * Returns the whole text so far.
-     *
-     * @return The text.
-     */
+    /** {@return the text generated so far} */
     String text() {
         return String.join("", tokens);
     }
 
-    /** Wakes those who wait. */
-    private void wake() {
+    private void wakeWaiters() {
         List<SettablePromise<Void>> woken = List.copyOf(waiters);
         waiters.clear();
         woken.forEach(waiter -> waiter.set(null));
--- a/src/main/java/org/martenwell/standin/GenerationState.java
+++ b/src/main/java/org/martenwell/standin/GenerationState.java
@@ -1,17 +1,17 @@
 package org.martenwell.standin;
 
-/** How far a stand-in engine is with a request. */
+/** The state of a request in a simulated engine. */
 public enum GenerationState {
 
-    /** It waits inside the engine. */
+    /** Queued in the engine. */
     WAITING,
 
-    /** It runs. */
+    /** Generating tokens. */
     RUNNING,
 
-    /** It ended whole. */
+    /** Complete. */
     ENDED,
 
-    /** It was cancelled. */
+    /** Cancelled before it was complete. */
     CANCELLED
 }
--- a/src/main/java/org/martenwell/standin/LoadClient.java
+++ b/src/main/java/org/martenwell/standin/LoadClient.java
@@ -14,38 +14,35 @@
 import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
 
-/** Sends one request after the other to routers, as a caller, and checks the answers. */
+/** Sends requests to routers as a caller does and verifies the responses. */
 final class LoadClient {
 
-    /** The largest answer, in bytes. */
     private static final int MAX_BODY_BYTES = 16 << 20;
 
-    /** How many nanoseconds make a microsecond. */
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** Sends requests. */
     private final HttpCalls calls;
 
     /**
      * Creates a client.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop.
      */
     LoadClient(NioReactor reactor) {
         this.calls = HttpCalls.pooled(reactor, MAX_BODY_BYTES);
     }
 
     /**
-     * Asks a model and reads the stream.
+     * Sends a chat completion request and reads its stream.
      *
-     * @param load Whose request it is.
-     * @param router The router's address.
+     * @param load The load that the request belongs to.
+     * @param router The address of the router.
      * @param prompt The prompt.
-     * @param totals Receives what became of it.
-     * @param delivered Receives the number of tokens whenever some arrive.
-     * @return Completes at the end, whatever became of it.
+     * @param totals Records the result.
+     * @param delivered Receives the number of tokens in each part of the stream.
+     * @return Completes at the end of the request, also if it failed.
      */
-    Promise<Void> askModel(
+    Promise<Void> sendChat(
             OrganisationLoad load,
             String router,
             String prompt,
@@ -65,20 +62,20 @@
                         response ->
                                 response.getCode() == 200
                                         ? readStream(response, sentAt, totals, delivered)
-                                        : readRefusal(response, totals))
-                .then(Promise::of, exception -> failed(exception, totals));
+                                        : readErrorResponse(response, totals))
+                .then(Promise::of, exception -> recordConnectionFailure(exception, totals));
     }
 
     /**
-     * Asks a plain service.
+     * Sends a request to a plain service.
      *
-     * @param load Whose request it is.
-     * @param router The router's address.
-     * @param service The service.
-     * @param totals Receives what became of it.
-     * @return Completes at the end, whatever became of it.
+     * @param load The load that the request belongs to.
+     * @param router The address of the router.
+     * @param service The name of the service.
+     * @param totals Records the result.
+     * @return Completes at the end of the request, also if it failed.
      */
-    Promise<Void> askService(
+    Promise<Void> sendServiceRequest(
             OrganisationLoad load, String router, String service, LoadTotals totals) {
         totals.sent();
         return calls.send(
@@ -90,7 +87,7 @@
                 .then(
                         response -> {
                             if (response.getCode() != 200) {
-                                return readRefusal(response, totals);
+                                return readErrorResponse(response, totals);
                             }
                             return response.loadBody()
                                     .map(
@@ -99,18 +96,9 @@
                                                 return (Void) null;
                                             });
                         })
-                .then(Promise::of, exception -> failed(exception, totals));
+                .then(Promise::of, exception -> recordConnectionFailure(exception, totals));
     }
 
-    /**
-     * Reads a stream to its end.
-     *
-     * @param response The response.
-     * @param sentAt When the request was sent, in nanoseconds of the system's timer.
-     * @param totals Receives what became of it.
-     * @param delivered Receives the number of tokens whenever some arrive.
-     * @return Completes at the end.
-     */
     private Promise<Void> readStream(
             HttpResponse response, long sentAt, LoadTotals totals, IntConsumer delivered) {
         StreamVerifier verifier = new StreamVerifier();
@@ -127,16 +115,11 @@
                                         totals.firstToken(nanos / NANOS_PER_MICRO);
                                     }
                                 }))
-                .whenResult(() -> finish(verifier, totals));
+                .whenResult(() -> recordStreamEnd(verifier, totals));
     }
 
-    /**
-     * Counts a stream that ended.
-     *
-     * @param verifier What was read.
-     * @param totals Receives what became of it.
-     */
-    private static void finish(StreamVerifier verifier, LoadTotals totals) {
+    /** Records the result of a finished stream. */
+    private static void recordStreamEnd(StreamVerifier verifier, LoadTotals totals) {
         if (verifier.complete()) {
             totals.completed();
         } else if (!verifier.error().isEmpty() && !verifier.isWrong()) {
@@ -146,31 +129,20 @@
         }
     }
 
-    /**
-     * Reads a refusal.
-     *
-     * @param response The response.
-     * @param totals Receives what became of it.
-     * @return Completes at the end.
-     */
-    private static Promise<Void> readRefusal(HttpResponse response, LoadTotals totals) {
+    /** Reads an error response and records its code. */
+    private static Promise<Void> readErrorResponse(HttpResponse response, LoadTotals totals) {
         int status = response.getCode();
         return response.loadBody()
                 .map(
                         body -> {
-                            totals.refused(code(body.getString(StandardCharsets.UTF_8), status));
+                            totals.refused(
+                                    errorCode(body.getString(StandardCharsets.UTF_8), status));
                             return null;
                         });
     }
 
-    /**
-     * Reads the code of an error.
-     *
-     * @param body The error's body.
-     * @param status The status.
-     * @return The code, or the status if there is none.
-     */
-    private static String code(String body, int status) {
+    /** Returns the code in an error response, or one made of the HTTP status if there is none. */
+    private static String errorCode(String body, int status) {
         try {
             JsonNode root = Json.read(body.getBytes(StandardCharsets.UTF_8));
             return root.path("error").path("code").asText("status_" + status);
@@ -179,24 +151,11 @@
         }
     }
 
-    /**
-     * Counts a request whose connection failed.
-     *
-     * @param exception Why.
-     * @param totals Receives what became of it.
-     * @return Completes at once.
-     */
-    private static Promise<Void> failed(Exception exception, LoadTotals totals) {
+    private static Promise<Void> recordConnectionFailure(Exception exception, LoadTotals totals) {
         totals.refused("connection_" + exception.getClass().getSimpleName());
         return Promise.complete();
     }
 
-    /**
-     * Builds the header fields of a request.
-     *
-     * @param load Whose request it is.
-     * @return The fields.
-     */
     private static List<HeaderField> headers(OrganisationLoad load) {
         return List.of(
                 new HeaderField("Authorization", "Bearer " + load.key()),
--- a/src/main/java/org/martenwell/standin/LoadGenerator.java
+++ b/src/main/java/org/martenwell/standin/LoadGenerator.java
@@ -10,47 +10,44 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Sends the load of several organisations at once. */
+/** Generates the load of several organisations concurrently and records the results. */
 public final class LoadGenerator {
 
-    /** Every how many requests a plain service is asked. */
+    /** One of this many requests goes to the plain service. */
     private static final int SERVICE_EVERY = 4;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** What to send. */
     private final LoadSettings settings;
 
-    /** Sends requests. */
     private final LoadClient client;
 
-    /** Draws gaps between requests. */
     private final Random random;
 
-    /** What became of it since the warm-up, by organisation. */
+    /** The results since the end of the warm-up, by organisation. */
     private final Map<String, LoadTotals> totals = new LinkedHashMap<>();
 
-    /** The tokens that arrived since the warm-up, whenever their request was sent. */
+    /**
+     * The tokens received since the end of the warm-up, also of earlier requests, by organisation.
+     */
     private final Map<String, Long> delivered = new LinkedHashMap<>();
 
-    /** What became of it before. */
+    /** The results of requests sent during the warm-up. */
     private final LoadTotals warmUp = new LoadTotals();
 
-    /** When to stop sending. */
-    private long endAt;
+    private long endTime;
 
-    /** From when on to count. */
-    private long countFrom;
+    /** The end of the warm-up. */
+    private long measureFrom;
 
-    /** The number of the next request. */
+    /** The sequence number of the last request. */
     private long number;
 
     /**
-     * Creates a generator that sends nothing yet.
+     * Creates a generator.
      *
-     * @param reactor The loop.
-     * @param settings What to send.
+     * @param reactor The event loop.
+     * @param settings The load to generate.
      */
     public LoadGenerator(NioReactor reactor, LoadSettings settings) {
         this.reactor = reactor;
@@ -64,136 +61,95 @@
     }
 
     /**
-     * Sends the load.
+     * Generates the load.
      *
-     * @return Completes once all is sent and answered.
+     * @return Completes once all requests are finished.
      */
     public Promise<Void> run() {
         long now = reactor.currentTimeMillis();
-        countFrom = now + (long) (settings.warmUpSeconds() * 1000);
-        endAt = countFrom + (long) (settings.seconds() * 1000);
+        measureFrom = now + (long) (settings.warmUpSeconds() * 1000);
+        endTime = measureFrom + (long) (settings.seconds() * 1000);
         return Promises.all(settings.organisations().stream().map(this::run));
     }
 
-    /**
-     * Returns what became of the load since the warm-up.
-     *
-     * @return The totals by organisation.
-     */
+    /** {@return the results of requests sent after the warm-up, by organisation} */
     public Map<String, LoadTotals> totals() {
         return totals;
     }
 
     /**
-     * Returns the tokens that arrived since the warm-up, whenever their request was sent.
-     *
-     * @return The tokens by organisation.
+     * {@return the tokens received since the end of the warm-up, also of earlier requests, by
+     * organisation}
      */
     public Map<String, Long> delivered() {
         return Map.copyOf(delivered);
     }
 
-    /**
-     * Counts tokens that arrived.
-     *
-     * @param organisation Whose they are.
-     * @param count How many.
-     */
-    private void deliver(String organisation, int count) {
-        if (reactor.currentTimeMillis() >= countFrom) {
+    private void recordDelivered(String organisation, int count) {
+        if (reactor.currentTimeMillis() >= measureFrom) {
             delivered.merge(organisation, (long) count, Long::sum);
         }
     }
 
-    /**
-     * Sends the load of one organisation.
-     *
-     * @param load The load.
-     * @return Completes once all is sent and answered.
-     */
     private Promise<Void> run(OrganisationLoad load) {
         if (!load.closedLoop()) {
-            return sendAtRate(load);
+            return sendTimeRate(load);
         }
         Promise<?>[] workers = new Promise<?>[load.concurrency()];
         for (int index = 0; index < workers.length; index++) {
-            workers[index] = sendOneByOne(load);
+            workers[index] = sendSequentially(load);
         }
         return Promises.all(workers);
     }
 
-    /**
-     * Sends one request after the other.
-     *
-     * @param load The load.
-     * @return Completes once all is sent and answered.
-     */
-    private Promise<Void> sendOneByOne(OrganisationLoad load) {
+    /** Sends requests sequentially until the end of the load. */
+    private Promise<Void> sendSequentially(OrganisationLoad load) {
         return Promises.repeat(
                 () -> {
-                    if (reactor.currentTimeMillis() >= endAt) {
+                    if (reactor.currentTimeMillis() >= endTime) {
                         return Promise.of(false);
                     }
-                    return send(load, false).then(this::pause).map(any -> true);
+                    return send(load, false).then(this::waitBriefly).map(any -> true);
                 });
     }
 
-    /**
-     * Waits a moment, so that a refusal is not followed by a storm.
-     *
-     * @return Completes after the moment.
-     */
-    private Promise<Void> pause() {
+    /** Waits 1 to 10 ms, so that refused requests are not retried in a tight loop. */
+    private Promise<Void> waitBriefly() {
         return Promises.delay(Duration.ofMillis(1 + random.nextInt(10)));
     }
 
     /**
-     * Sends requests at a rate, with exponential gaps.
-     *
-     * @param load The load.
-     * @return Completes once all is sent and answered.
+     * Sends requests with exponentially distributed intervals, whether or not earlier ones are
+     * finished.
      */
-    private Promise<Void> sendAtRate(OrganisationLoad load) {
+    private Promise<Void> sendTimeRate(OrganisationLoad load) {
         List<Promise<Void>> sent = new ArrayList<>();
         return Promises.repeat(
                         () -> {
-                            if (reactor.currentTimeMillis() >= endAt) {
+                            if (reactor.currentTimeMillis() >= endTime) {
                                 return Promise.of(false);
                             }
                             sent.add(send(load, true));
-                            return Promises.delay(gap(load)).map(any -> true);
+                            return Promises.delay(drawInterval(load)).map(any -> true);
                         })
                 .then(() -> Promises.all(sent));
     }
 
-    /**
-     * Draws an exponential gap between two requests.
-     *
-     * @param load The load.
-     * @return The gap.
-     */
-    private Duration gap(OrganisationLoad load) {
+    private Duration drawInterval(OrganisationLoad load) {
         double millis = -Math.log(1 - random.nextDouble()) * 1000 / load.perSecond();
         return Duration.ofMillis(Math.max(1, (long) millis));
     }
 
-    /**
-     * Sends one request.
-     *
-     * @param load The load.
-     * @param mixed {@code true} to ask the plain service now and then.
-     * @return Completes once it is answered.
-     */
     private Promise<Void> send(OrganisationLoad load, boolean mixed) {
         number++;
         String router = load.routers().get((int) (number % load.routers().size()));
-        boolean counted = reactor.currentTimeMillis() >= countFrom;
+        boolean counted = reactor.currentTimeMillis() >= measureFrom;
         LoadTotals into = counted ? totals.get(load.organisation()) : warmUp;
         if (mixed && load.service().isPresent() && number % SERVICE_EVERY == 0) {
-            return client.askService(load, router, load.service().get(), into);
+            return client.sendServiceRequest(load, router, load.service().get(), into);
         }
         String prompt = "request " + number + " " + "x".repeat(load.promptBytes());
-        return client.askModel(
-                load, router, prompt, into, count -> deliver(load.organisation(), count));
+        return client.sendChat(
+                load, router, prompt, into, count -> recordDelivered(load.organisation(), count));
     }
 }
--- a/src/main/java/org/martenwell/standin/LoadSettings.java
+++ b/src/main/java/org/martenwell/standin/LoadSettings.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What load to send.
+ * The settings of the load generator.
  *
- * @param seed Seeds what is random.
- * @param seconds How long to send, in seconds.
- * @param warmUpSeconds How long to send before anything is counted, in seconds.
+ * @param seed The seed of the random number generator.
+ * @param seconds The duration of the measured load, in seconds.
+ * @param warmUpSeconds The duration of the warm-up before the measurement, in seconds.
  * @param organisations The load of each organisation.
  */
 public record LoadSettings(
--- a/src/main/java/org/martenwell/standin/LoadSummary.java
+++ b/src/main/java/org/martenwell/standin/LoadSummary.java
@@ -6,15 +6,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of a load.
+ * The results of a load over all organisations.
  *
- * @param requests The requests sent.
- * @param complete The answers that arrived whole.
- * @param wrongAnswers The answers that were not what they had to be.
- * @param refusals The refusals and failures by code.
- * @param completePerSecond The answers that arrived whole, a second.
- * @param firstTokenMicros The times to the first token by percentile, in microseconds.
- * @param tokens The tokens that arrived, by organisation.
+ * @param requests The number of requests sent.
+ * @param complete The number of complete and correct responses.
+ * @param wrongAnswers The number of incorrect responses, such as streams with missing or repeated
+ *     tokens.
+ * @param refusals The number of error responses and failures, by code.
+ * @param completePerSecond The complete responses per second.
+ * @param firstTokenMicros The time to first token in microseconds, by percentile.
+ * @param tokens The number of tokens received, by organisation.
  */
 public record LoadSummary(
         long requests,
@@ -25,14 +26,13 @@
         Map<String, Long> firstTokenMicros,
         Map<String, Long> tokens) {
 
-    /** The percentiles that are told. */
     private static final int[] PERCENTILES = {50, 95, 99};
 
     /**
-     * Sums up a load.
+     * Summarizes the results of a load generator.
      *
-     * @param generator What sent it.
-     * @param seconds How long it was sent, in seconds.
+     * @param generator The load generator, after its end.
+     * @param seconds The duration of the measured load, in seconds.
      * @return The summary.
      */
     public static LoadSummary of(LoadGenerator generator, double seconds) {
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Reads the percentiles of a histogram.
+     * Returns selected percentiles of a histogram.
      *
      * @param histogram The histogram.
-     * @return The values by percentile.
+     * @return The values by the name of the percentile, such as {@code p99}.
      */
     public static Map<String, Long> percentiles(Histogram histogram) {
         Map<String, Long> percentiles = new LinkedHashMap<>();
--- a/src/main/java/org/martenwell/standin/LoadTotals.java
+++ b/src/main/java/org/martenwell/standin/LoadTotals.java
@@ -4,31 +4,25 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What became of one organisation's load. */
+/** The results of the load of one organisation. */
 public final class LoadTotals {
 
-    /** The largest time recorded, in microseconds. */
+    /** The upper bound of recorded times, in microseconds. */
     private static final long MAX_MICROS = 3_600_000_000L;
 
-    /** The digits of times that are kept. */
+    /** The number of significant digits of recorded times. */
     static final int DIGITS = 3;
 
-    /** The requests sent. */
     private long requests;
 
-    /** The answers that arrived whole. */
     private long complete;
 
-    /** The answers that were not what they had to be. */
     private long wrong;
 
-    /** The tokens that arrived. */
     private long tokens;
 
-    /** The refusals and failures by code. */
     private final Map<String, Long> refusals = new TreeMap<>();
 
-    /** The times to the first token, in microseconds. */
     private final Histogram firstToken = new Histogram(MAX_MICROS, DIGITS);
 
     /** Creates totals at zero. */
@@ -39,36 +33,36 @@
         requests++;
     }
 
-    /** Counts an answer that arrived whole. */
+    /** Counts a complete and correct response. */
     void completed() {
         complete++;
     }
 
-    /** Counts an answer that was not what it had to be. */
+    /** Counts an incorrect response. */
     void wrong() {
         wrong++;
     }
 
     /**
-     * Counts tokens that arrived.
+     * Counts received tokens.
      *
-     * @param count How many.
+     * @param count The number of tokens.
      */
     void tokens(int count) {
         tokens += count;
     }
 
     /**
-     * Counts a refusal or failure.
+     * Counts an error response or a failure.
      *
-     * @param code Its code.
+     * @param code The error code.
      */
     void refused(String code) {
         refusals.merge(code, 1L, Long::sum);
     }
 
     /**
-     * Records the time to a first token.
+     * Records a time to first token.
      *
      * @param micros The time in microseconds.
      */
@@ -76,56 +70,32 @@
         firstToken.recordValue(Math.min(MAX_MICROS, micros));
     }
 
-    /**
-     * Returns the requests sent.
-     *
-     * @return The number.
-     */
+    /** {@return the number of requests sent} */
     public long requests() {
         return requests;
     }
 
-    /**
-     * Returns the answers that arrived whole.
-     *
-     * @return The number.
-     */
+    /** {@return the number of complete and correct responses} */
     public long complete() {
         return complete;
     }
 
-    /**
-     * Returns the answers that were not what they had to be.
-     *
-     * @return The number.
-     */
+    /** {@return the number of incorrect responses} */
     public long wrongAnswers() {
         return wrong;
     }
 
-    /**
-     * Returns the tokens that arrived.
-     *
-     * @return The number.
-     */
+    /** {@return the number of tokens received} */
     public long tokens() {
         return tokens;
     }
 
-    /**
-     * Returns the refusals and failures.
-     *
-     * @return The numbers by code.
-     */
+    /** {@return the number of error responses and failures, by code} */
     public Map<String, Long> refusals() {
         return refusals;
     }
 
-    /**
-     * Returns the times to the first token.
-     *
-     * @return The times in microseconds.
-     */
+    /** {@return the times to first token, in microseconds} */
     public Histogram firstTokenMicros() {
         return firstToken;
     }
--- a/src/main/java/org/martenwell/standin/ObjectStore.java
+++ b/src/main/java/org/martenwell/standin/ObjectStore.java
@@ -9,16 +9,14 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.objects.StoredObject;
 
-/** The objects of a stand-in platform, in memory. */
+/** An in-memory object store with versions, as the platform stand-in serves it. */
 final class ObjectStore {
 
-    /** The largest value, in bytes. */
     private static final int MAX_BYTES = 1 << 20;
 
-    /** The objects by kind and name. */
+    /** The objects by {@code kind/name}. */
     private final Map<String, StoredObject> objects = new TreeMap<>();
 
-    /** The version of the last write. */
     private long version;
 
     /** Creates an empty store. */
@@ -29,28 +27,31 @@
      *
      * @param kind The kind.
      * @param name The name.
-     * @return The object.
+     * @return The object, empty if it does not exist.
      */
     Optional<StoredObject> read(String kind, String name) {
         return Optional.ofNullable(objects.get(kind + "/" + name));
     }
 
     /**
-     * Writes an object, or throws an exception if its version is not the expected one.
+     * Writes an object. Throws {@link ErrorKind#VERSION_CONFLICT} if its version is not the
+     * expected one.
      *
      * @param kind The kind.
      * @param name The name.
      * @param value The value.
-     * @param expected The expected version, 0 if there must be none.
-     * @return The new version.
+     * @param expected The expected version, or 0 if the object must not exist.
+     * @return The object with its new version.
      */
     StoredObject write(String kind, String name, byte[] value, long expected) {
         long current = read(kind, name).map(StoredObject::version).orElse(0L);
         if (current != expected) {
-            throw MartenwellException.of(ErrorKind.VERSION_CONFLICT, "Version is " + current);
+            throw MartenwellException.of(
+                    ErrorKind.VERSION_CONFLICT, "The current version is " + current);
         }
         if (value.length > MAX_BYTES) {
-            throw MartenwellException.of(ErrorKind.BODY_TOO_LARGE, "A value is too large.");
+            throw MartenwellException.of(
+                    ErrorKind.BODY_TOO_LARGE, "The value exceeds the size limit.");
         }
         version++;
         StoredObject object = new StoredObject(kind, name, version, value);
@@ -59,10 +60,10 @@
     }
 
     /**
-     * Lists the objects of a kind that changed.
+     * Lists the objects of a kind that were written after a version.
      *
      * @param kind The kind.
-     * @param after The version after which they changed.
+     * @param after The version, exclusive.
      * @return The objects.
      */
     List<StoredObject> changed(String kind, long after) {
--- a/src/main/java/org/martenwell/standin/OrganisationLoad.java
+++ b/src/main/java/org/martenwell/standin/OrganisationLoad.java
@@ -6,14 +6,15 @@
 /**
  * The load of one organisation.
  *
- * @param organisation The organisation's name.
- * @param key A caller's key.
- * @param routers The addresses of the routers that it uses, one after the other.
- * @param concurrency How many requests it keeps open at all times; 0 to send at a rate.
- * @param perSecond How many requests it sends a second if it keeps none open.
- * @param model The model that it asks.
- * @param service The plain service that it asks with every fourth request.
- * @param promptBytes The size of its prompts, in bytes.
+ * @param organisation The name of the organisation.
+ * @param key The API key.
+ * @param routers The addresses of the routers, used in rotation.
+ * @param concurrency The constant number of concurrent requests, or 0 to send at a rate.
+ * @param perSecond The requests per second if the concurrency is 0.
+ * @param model The model of the chat requests.
+ * @param service The plain service that receives every fourth request if the load is sent at a
+ *     rate; empty for none.
+ * @param promptBytes The size of the prompts, in bytes.
  */
 public record OrganisationLoad(
         String organisation,
@@ -25,11 +26,7 @@
         Optional<String> service,
         int promptBytes) {
 
-    /**
-     * Returns whether the organisation always has requests open.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if a constant number of requests is kept open} */
     public boolean closedLoop() {
         return concurrency > 0;
     }
--- a/src/main/java/org/martenwell/standin/PlatformFaults.java
+++ b/src/main/java/org/martenwell/standin/PlatformFaults.java
@@ -1,14 +1,14 @@
 package org.martenwell.standin;
 
 /**
- * How a stand-in platform misbehaves.
+ * The faults injected by a platform stand-in.
  *
- * @param down {@code true} to break every call off.
- * @param slowMillis How long every call is held back, in milliseconds.
- * @param lostReplies How many of the next writes take effect without a reply.
+ * @param down {@code true} to close the connection of every call.
+ * @param slowMillis The delay of every call, in milliseconds.
+ * @param lostReplies The number of subsequent writes that take effect without a response.
  */
 public record PlatformFaults(boolean down, long slowMillis, int lostReplies) {
 
-    /** No misbehaviour. */
+    /** No faults. */
     public static final PlatformFaults NONE = new PlatformFaults(false, 0, 0);
 }
--- a/src/main/java/org/martenwell/standin/PlatformSettings.java
+++ b/src/main/java/org/martenwell/standin/PlatformSettings.java
@@ -4,10 +4,10 @@
 import org.martenwell.objects.Box;
 
 /**
- * The settings of a stand-in platform.
+ * The settings of a platform stand-in.
  *
- * @param address Where it listens.
- * @param boxLagMillis How late its box list is, in milliseconds.
- * @param boxes The boxes.
+ * @param address The listen address.
+ * @param boxLagMillis The delay until the box list shows a change, in milliseconds.
+ * @param boxes The initial box list.
  */
 public record PlatformSettings(String address, long boxLagMillis, List<Box> boxes) {}
--- a/src/main/java/org/martenwell/standin/PrefixCache.java
+++ b/src/main/java/org/martenwell/standin/PrefixCache.java
@@ -7,32 +7,30 @@
 import org.martenwell.target.CacheEvent;
 
 /**
- * The prefix cache of a stand-in engine: it holds the prefixes used last and tells what changed.
+ * A simulated prefix cache of an engine with LRU eviction. It records insertions and evictions as
+ * events.
  */
 final class PrefixCache {
 
-    /** How many prefixes it holds. */
     private static final int MAX_PREFIXES = 64;
 
-    /** How many events it remembers; whoever asks later finds a gap. */
+    /** The number of events retained; readers that lag further behind see a gap in the numbers. */
     private static final int MAX_EVENTS = 256;
 
-    /** The prefixes held, the one used longest ago first. */
+    /** The cached prefixes, least recently used first. */
     private final Map<Long, Boolean> prefixes = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** The last events. */
     private final List<CacheEvent> events = new ArrayList<>();
 
-    /** The number of the last event. */
     private long number;
 
     /** Creates an empty cache. */
     PrefixCache() {}
 
     /**
-     * Uses a prefix.
+     * Inserts or refreshes a prefix and evicts the least recently used one if the cache is full.
      *
-     * @param prefix The prefix's hash.
+     * @param prefix The hash of the prefix.
      */
     void use(long prefix) {
         if (prefixes.put(prefix, true) == null) {
@@ -46,21 +44,15 @@
     }
 
     /**
-     * Returns what changed.
+     * Returns the events after a given one.
      *
-     * @param after The number of the last known event.
-     * @return Later events, as far as remembered.
+     * @param after The number of the last known event, or 0.
+     * @return The later events that are still retained.
      */
     List<CacheEvent> events(long after) {
         return events.stream().filter(event -> event.number() > after).toList();
     }
 
-    /**
-     * Remembers an event.
-     *
-     * @param prefix The prefix's hash.
-     * @param held {@code true} if it is held now.
-     */
     private void add(long prefix, boolean held) {
         number++;
         events.add(new CacheEvent(number, prefix, held));
--- a/src/main/java/org/martenwell/standin/ServiceReply.java
+++ b/src/main/java/org/martenwell/standin/ServiceReply.java
@@ -1,9 +1,9 @@
 package org.martenwell.standin;
 
 /**
- * The answer of a stand-in plain service.
+ * The response of a plain service stand-in.
  *
- * @param target The target that answered.
- * @param request The request as it arrived.
+ * @param target The name of the target that responded.
+ * @param request The method, path and body size of the request.
  */
 record ServiceReply(String target, String request) {}
--- a/src/main/java/org/martenwell/standin/StandinPlatform.java
+++ b/src/main/java/org/martenwell/standin/StandinPlatform.java
@@ -27,37 +27,31 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * A stand-in platform: objects with versions, conditional updates and watches, and a box list that
- * lags. It can be told to be down, to be slow and to lose replies.
+ * A stand-in for the platform: versioned objects with conditional updates and watches, and a box
+ * list that shows changes late. Faults can be injected: outages, delays and lost responses.
  */
 public final class StandinPlatform implements AsyncServlet, ManagedService {
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** Takes calls. */
     private final HttpServer server;
 
-    /** The objects. */
     private final ObjectStore store = new ObjectStore();
 
-    /** The boxes. */
     private final BoxList boxes;
 
-    /** The watches that wait. */
+    /** The pending long polls. */
     private final List<SettablePromise<Void>> watches = new ArrayList<>();
 
-    /** How it misbehaves. */
     private PlatformFaults faults = PlatformFaults.NONE;
 
-    /** The calls taken. */
     private CallCounts counts = CallCounts.NONE;
 
     /**
-     * Creates a platform that does not run yet.
+     * Creates a platform that is not started.
      *
-     * @param reactor The loop.
-     * @param settings The settings.
+     * @param reactor The event loop.
+     * @param settings The listen address and the box list.
      */
     public StandinPlatform(NioReactor reactor, PlatformSettings settings) {
         this.reactor = reactor;
@@ -79,17 +73,13 @@
         return server.close().toVoid();
     }
 
-    /**
-     * Returns where it listens.
-     *
-     * @return The address.
-     */
+    /** {@return the address that the server is bound to} */
     public InetSocketAddress address() {
         return server.getBoundAddresses().get(0);
     }
 
     /**
-     * Changes how it misbehaves.
+     * Sets the faults to inject.
      *
      * @param changed The faults.
      */
@@ -97,20 +87,16 @@
         faults = changed;
     }
 
-    /**
-     * Returns the calls taken.
-     *
-     * @return The counts.
-     */
+    /** {@return the numbers of calls received, without control requests} */
     public CallCounts counts() {
         return counts;
     }
 
     /**
-     * Changes the state of a box.
+     * Changes the state of a box after the delay of the box list.
      *
-     * @param name The box's name.
-     * @param state The state, shown after the lag.
+     * @param name The name of the box.
+     * @param state The new state.
      */
     public void box(String name, BoxState state) {
         boxes.change(name, state, reactor.currentTimeMillis());
@@ -119,43 +105,31 @@
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
         if (request.getPath().startsWith("/standin/")) {
-            return request.loadBody().map(body -> control(request, body.getArray()));
+            return request.loadBody().map(body -> handleControl(request, body.getArray()));
         }
         count(request);
         if (faults.down()) {
-            return Promise.ofException(new IOException("down"));
+            return Promise.ofException(new IOException("Platform outage by fault injection."));
         }
         return request.loadBody()
                 .map(body -> body.getArray())
-                .then(body -> delayed(request, body))
-                .then(Promise::of, exception -> Promise.of(failed(exception)));
+                .then(body -> respondAfterDelay(request, body))
+                .then(Promise::of, exception -> Promise.of(errorResponse(exception)));
     }
 
-    /**
-     * Answers a call after the present delay.
-     *
-     * @param request The call.
-     * @param body Its body.
-     * @return The answer.
-     */
-    private Promise<HttpResponse> delayed(HttpRequest request, byte[] body) {
+    /** Responds to a call after the injected delay. */
+    private Promise<HttpResponse> respondAfterDelay(HttpRequest request, byte[] body) {
         return faults.slowMillis() == 0
-                ? answer(request, body)
+                ? respond(request, body)
                 : Promises.delay(Duration.ofMillis(faults.slowMillis()))
-                        .then(() -> answer(request, body));
+                        .then(() -> respond(request, body));
     }
 
-    /**
-     * Answers a call.
-     *
-     * @param request The call.
-     * @param body Its body.
-     * @return The answer.
-     */
-    private Promise<HttpResponse> answer(HttpRequest request, byte[] body) {
+    /** Routes a call by its path. */
+    private Promise<HttpResponse> respond(HttpRequest request, byte[] body) {
         String[] parts = request.getPath().split("/", -1);
         if (request.getPath().equals("/boxes")) {
-            return Promise.of(json(boxes.boxes(reactor.currentTimeMillis())));
+            return Promise.of(jsonResponse(boxes.boxes(reactor.currentTimeMillis())));
         }
         if (parts.length == 3 && parts[1].equals("objects")) {
             long after = Long.parseLong(request.getQueryParameter("after"));
@@ -172,28 +146,13 @@
         return Promise.of(HttpResponse.notFound404().build());
     }
 
-    /**
-     * Reads an object.
-     *
-     * @param kind The kind.
-     * @param name The name.
-     * @return The answer.
-     */
     private HttpResponse read(String kind, String name) {
         return store.read(kind, name)
-                .map(object -> tagged(object, object.value()))
+                .map(object -> versionedResponse(object, object.value()))
                 .orElseGet(() -> HttpResponse.notFound404().build());
     }
 
-    /**
-     * Writes an object and perhaps loses the reply.
-     *
-     * @param kind The kind.
-     * @param name The name.
-     * @param value The value.
-     * @param request The call with its condition.
-     * @return The answer.
-     */
+    /** Writes an object; a response to be lost never completes. */
     private Promise<HttpResponse> write(
             String kind, String name, byte[] value, HttpRequest request) {
         String match = request.getHeader(HttpHeaders.IF_MATCH);
@@ -206,16 +165,11 @@
                             faults.down(), faults.slowMillis(), faults.lostReplies() - 1);
             return new SettablePromise<>();
         }
-        return Promise.of(tagged(object, new byte[0]));
+        return Promise.of(versionedResponse(object, new byte[0]));
     }
 
     /**
-     * Waits for changes.
-     *
-     * @param kind The kind.
-     * @param after The version after which changes are wanted.
-     * @param until Until when to wait.
-     * @return The answer.
+     * Responds with the objects changed after a version, or waits for a change until the deadline.
      */
     private Promise<HttpResponse> watch(String kind, long after, long until) {
         List<StoredObject> changed = store.changed(kind, after);
@@ -226,7 +180,7 @@
                 String value = Base64.getEncoder().encodeToString(object.value());
                 items.add(new ObjectItem(object.name(), object.version(), value));
             }
-            return Promise.of(json(items));
+            return Promise.of(jsonResponse(items));
         }
         SettablePromise<Void> woken = new SettablePromise<>();
         watches.add(woken);
@@ -234,34 +188,22 @@
         return woken.then(() -> watch(kind, after, until));
     }
 
-    /** Wakes all watches. */
     private void wakeWatches() {
         List<SettablePromise<Void>> woken = List.copyOf(watches);
         watches.clear();
         woken.forEach(each -> each.trySet(null));
     }
 
-    /**
-     * Takes an order to the stand-in itself.
-     *
-     * @param request The order.
-     * @param body Its body.
-     * @return The answer.
-     */
-    private HttpResponse control(HttpRequest request, byte[] body) {
+    /** Handles a request that controls the stand-in itself. */
+    private HttpResponse handleControl(HttpRequest request, byte[] body) {
         if (request.getPath().equals("/standin/faults")) {
             faults(Json.read(body, PlatformFaults.class));
         } else if (request.getPath().equals("/standin/box")) {
             box(request.getQueryParameter("name"), Json.read(body, BoxState.class));
         }
-        return json(counts);
+        return jsonResponse(counts);
     }
 
-    /**
-     * Counts a call.
-     *
-     * @param request The call.
-     */
     private void count(HttpRequest request) {
         boolean write = request.getMethod() == HttpMethod.PUT;
         boolean watch = request.getQueryParameter("after") != null;
@@ -272,13 +214,7 @@
                         counts.watches() + (watch ? 1 : 0));
     }
 
-    /**
-     * Answers a call that failed.
-     *
-     * @param exception Why.
-     * @return The answer.
-     */
-    private static HttpResponse failed(Exception exception) {
+    private static HttpResponse errorResponse(Exception exception) {
         if (exception instanceof MartenwellException known) {
             boolean conflict = known.kind() == ErrorKind.VERSION_CONFLICT;
             return HttpResponse.ofCode(conflict ? 412 : known.kind().status()).build();
@@ -286,27 +222,15 @@
         return HttpResponse.ofCode(500).build();
     }
 
-    /**
-     * Answers with a value and its version.
-     *
-     * @param object The object.
-     * @param value The value.
-     * @return The answer.
-     */
-    private static HttpResponse tagged(StoredObject object, byte[] value) {
+    /** Responds with a value and its version as the entity tag. */
+    private static HttpResponse versionedResponse(StoredObject object, byte[] value) {
         return HttpResponse.ok200()
                 .withHeader(HttpHeaders.ETAG, "\"" + object.version() + "\"")
                 .withBody(value)
                 .build();
     }
 
-    /**
-     * Answers with JSON.
-     *
-     * @param value The value.
-     * @return The answer.
-     */
-    private static HttpResponse json(Object value) {
+    private static HttpResponse jsonResponse(Object value) {
         return HttpResponse.ok200().withBody(Json.write(value)).build();
     }
 }
--- a/src/main/java/org/martenwell/standin/StandinTarget.java
+++ b/src/main/java/org/martenwell/standin/StandinTarget.java
@@ -29,56 +29,52 @@
 import org.martenwell.target.LoadReport;
 import org.martenwell.target.TargetOrder;
 
-/** A stand-in target: a model engine or a plain service. It records what it ran. */
+/**
+ * A stand-in for a target, either a model engine or a plain service. It records the requests that
+ * it ran, and faults can be injected.
+ */
 public final class StandinTarget implements AsyncServlet, ManagedService {
 
-    /** How much of a prompt's start is hashed, in characters. */
+    /** The length of the prompt prefix that identifies a cache entry, in characters. */
     private static final int PREFIX_CHARACTERS = 512;
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The settings. */
     private final TargetSettings settings;
 
-    /** Takes requests. */
     private final HttpServer server;
 
-    /** The engine. */
     private final EngineCore engine;
 
-    /** The prefixes that the engine holds. */
     private final PrefixCache cache = new PrefixCache();
 
-    /** The forms of answers, by request id, for streams that are resumed. */
+    /** The serializers of responses by request id, needed to resume streams. */
     private final Map<String, CompletionForms> forms = new LinkedHashMap<>();
 
-    /** The runs of a plain service, by request id. */
+    /** The requests to a plain service, by request id. */
     private final Map<String, RunRecord> serviceRuns = new LinkedHashMap<>();
 
-    /** How many requests to a plain service run now. */
+    /** The number of running requests to a plain service. */
     private int serving;
 
-    /** The time that slots of a plain service were in use, in milliseconds. */
+    /** The accumulated slot time of a plain service, in milliseconds. */
     private long servedMillis;
 
-    /** How it misbehaves. */
     private TargetFaults faults = TargetFaults.NONE;
 
-    /** The highest fence seen. */
+    /** The highest fencing token of any order so far. */
     private long fence;
 
-    /** When the next step of the engine is due. */
+    /** The due time of the next engine step, in milliseconds. */
     private double nextStepAt;
 
-    /** {@code true} once stopped. */
     private boolean stopped;
 
     /**
-     * Creates a target that does not run yet.
+     * Creates a target that is not started.
      *
-     * @param reactor The loop.
-     * @param settings The settings.
+     * @param reactor The event loop.
+     * @param settings The settings of the target.
      */
     public StandinTarget(NioReactor reactor, TargetSettings settings) {
         this.reactor = reactor;
@@ -95,11 +91,11 @@
         return Listening.start(server).whenResult(this::startSteps);
     }
 
-    /** Starts the engine's steps, if this is one. */
+    /** Starts the engine steps of a model replica. */
     private void startSteps() {
         nextStepAt = reactor.currentTimeMillis();
         if (settings.kind() == PoolKind.MODEL) {
-            step();
+            runDueSteps();
         }
     }
 
@@ -109,26 +105,18 @@
         return server.close().toVoid();
     }
 
-    /**
-     * Returns where it listens.
-     *
-     * @return The address.
-     */
+    /** {@return the address that the server is bound to} */
     public InetSocketAddress address() {
         return server.getBoundAddresses().get(0);
     }
 
-    /**
-     * Returns the settings.
-     *
-     * @return The settings.
-     */
+    /** {@return the settings of the target} */
     public TargetSettings settings() {
         return settings;
     }
 
     /**
-     * Changes how it misbehaves.
+     * Sets the faults to inject.
      *
      * @param changed The faults.
      */
@@ -136,31 +124,19 @@
         faults = changed;
     }
 
-    /**
-     * Returns what was run.
-     *
-     * @return A record for each request.
-     */
+    /** {@return a record for each request that was run} */
     public List<RunRecord> records() {
         return settings.kind() == PoolKind.MODEL
                 ? engine.records()
                 : List.copyOf(serviceRuns.values());
     }
 
-    /**
-     * Returns how much of its capacity was used.
-     *
-     * @return The use since the start.
-     */
+    /** {@return the used capacity since the start} */
     public TargetUse use() {
         return new TargetUse(engine.produced(), engine.possible(), servedMillis);
     }
 
-    /**
-     * Returns its load.
-     *
-     * @return The report.
-     */
+    /** {@return the current load, as reported to routers} */
     public LoadReport load() {
         boolean model = settings.kind() == PoolKind.MODEL;
         return new LoadReport(
@@ -176,28 +152,28 @@
         String path = request.getPath();
         String route = request.getMethod() + " " + path;
         if (route.equals("GET /load")) {
-            return Promise.of(json(load()));
+            return Promise.of(jsonResponse(load()));
         }
         if (route.equals("GET /runs")) {
-            return Promise.of(json(records()));
+            return Promise.of(jsonResponse(records()));
         }
         if (route.equals("GET /cache-events")) {
-            return Promise.of(json(cache.events(after(request))));
+            return Promise.of(jsonResponse(cache.events(lastKnownEvent(request))));
         }
         if (route.equals("POST /standin/faults")) {
             return request.loadBody()
                     .map(
                             body -> {
                                 faults(Json.read(body.getArray(), TargetFaults.class));
-                                return json(faults);
+                                return jsonResponse(faults);
                             });
         }
         if (route.equals("POST /orders")) {
             return request.loadBody()
-                    .map(body -> order(Json.read(body.getArray(), TargetOrder.class)));
+                    .map(body -> handleOrder(Json.read(body.getArray(), TargetOrder.class)));
         }
         if (path.startsWith("/v1/streams/")) {
-            return stream(request, path.substring("/v1/streams/".length()));
+            return resumeOrCancel(request, path.substring("/v1/streams/".length()));
         }
         if (faults.refuse() || faults.leaving()) {
             return Promise.of(
@@ -205,11 +181,11 @@
                             .withHeader(HttpHeaders.of(HeaderFields.NOT_STARTED), "true")
                             .build());
         }
-        return settings.kind() == PoolKind.MODEL ? complete(request) : runService(request);
+        return settings.kind() == PoolKind.MODEL ? runCompletion(request) : runService(request);
     }
 
-    /** Makes the engine's steps that are due and plans the next one. */
-    private void step() {
+    /** Runs the engine steps that are due and schedules the next one. */
+    private void runDueSteps() {
         long now = reactor.currentTimeMillis();
         double interval = 1000 / settings.tokensPerSecond();
         while (nextStepAt <= now) {
@@ -218,17 +194,12 @@
         }
         if (!stopped) {
             long delay = (long) Math.max(1, Math.ceil(nextStepAt - now));
-            reactor.delayBackground(delay, this::step);
+            reactor.delayBackground(delay, this::runDueSteps);
         }
     }
 
-    /**
-     * Takes a completion.
-     *
-     * @param request The request.
-     * @return The response.
-     */
-    private Promise<HttpResponse> complete(HttpRequest request) {
+    /** Submits a completion request to the engine. */
+    private Promise<HttpResponse> runCompletion(HttpRequest request) {
         String id = HeaderFields.find(request, HeaderFields.REQUEST_ID).orElse("unnamed");
         int priority =
                 HeaderFields.find(request, HeaderFields.PRIORITY).map(Integer::parseInt).orElse(0);
@@ -238,7 +209,7 @@
                         body -> {
                             byte[] bytes = body.getArray();
                             JsonNode root = Json.read(bytes);
-                            cache.use(prefix(root));
+                            cache.use(hashPrefix(root));
                             int limit = root.path("max_tokens").asInt(0);
                             Generation generation = engine.submit(id, priority, limit);
                             CompletionForms form =
@@ -253,41 +224,24 @@
                             }
                             return root.path("stream").asBoolean(false)
                                     ? Promise.of(events(generation, form, 0))
-                                    : whole(generation, form, bytes.length);
+                                    : completeResponse(generation, form, bytes.length);
                         });
     }
 
-    /**
-     * Hashes the start of a prompt.
-     *
-     * @param root The request's body.
-     * @return The hash.
-     */
-    private static long prefix(JsonNode root) {
+    private static long hashPrefix(JsonNode root) {
         String prompt = root.path("messages").toString() + root.path("prompt");
         return RendezvousHash.hash(
                 prompt.substring(0, Math.min(prompt.length(), PREFIX_CHARACTERS)));
     }
 
-    /**
-     * Reads after which event a caller wants to know more.
-     *
-     * @param request The request.
-     * @return The event's number, 0 if none is named.
-     */
-    private static long after(HttpRequest request) {
+    /** Returns the number of the last event that the client knows, or 0. */
+    private static long lastKnownEvent(HttpRequest request) {
         String after = request.getQueryParameter("after");
         return after == null ? 0 : Long.parseLong(after);
     }
 
-    /**
-     * Resumes or cancels a stream.
-     *
-     * @param request The request.
-     * @param id The request's id.
-     * @return The response.
-     */
-    private Promise<HttpResponse> stream(HttpRequest request, String id) {
+    /** Resumes or, for a {@code DELETE} request, cancels a stream. */
+    private Promise<HttpResponse> resumeOrCancel(HttpRequest request, String id) {
         Optional<Generation> generation = engine.find(id);
         if (generation.isEmpty()) {
             return Promise.of(HttpResponse.notFound404().build());
@@ -303,36 +257,22 @@
         return Promise.of(events(generation.get(), forms.get(id), after + 1));
     }
 
-    /**
-     * Answers with the whole text.
-     *
-     * @param generation The request.
-     * @param forms Writes the answer.
-     * @param promptBytes The size of the prompt, in bytes.
-     * @return The response.
-     */
-    private Promise<HttpResponse> whole(
+    /** Responds with the complete text once the generation is finished. */
+    private Promise<HttpResponse> completeResponse(
             Generation generation, CompletionForms forms, int promptBytes) {
-        if (generation.over()) {
+        if (generation.isFinished()) {
             return Promise.of(
                     HttpResponse.ok200()
                             .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
-                            .withBody(forms.whole(generation, promptBytes))
+                            .withBody(forms.response(generation, promptBytes))
                             .build());
         }
         return generation
                 .awaitMore(generation.tokens().size(), reactor.currentTimeMillis())
-                .then(() -> whole(generation, forms, promptBytes));
+                .then(() -> completeResponse(generation, forms, promptBytes));
     }
 
-    /**
-     * Answers with events.
-     *
-     * @param generation The request.
-     * @param forms Writes the events.
-     * @param from The index of the first token.
-     * @return The response.
-     */
+    /** Responds with a stream of events from a given token on. */
     private HttpResponse events(Generation generation, CompletionForms forms, int from) {
         EventSource source = new EventSource(generation, forms, from);
         ChannelSupplier<ByteBuf> body =
@@ -344,10 +284,7 @@
     }
 
     /**
-     * Decides whether to break a connection now.
-     *
-     * @param sent How many events it has carried.
-     * @return {@code true} to break it.
+     * Returns {@code true} if an injected fault breaks the connection after this number of events.
      */
     private boolean shouldDrop(int sent) {
         boolean drop =
@@ -360,12 +297,6 @@
         return drop;
     }
 
-    /**
-     * Runs a request to a plain service.
-     *
-     * @param request The request.
-     * @return The response.
-     */
     private Promise<HttpResponse> runService(HttpRequest request) {
         String id = HeaderFields.find(request, HeaderFields.REQUEST_ID).orElse("unnamed");
         String line = request.getMethod() + " " + request.getPathAndQuery();
@@ -382,32 +313,21 @@
                             serviceRuns.put(
                                     id, new RunRecord(id, runs, 1, text, GenerationState.ENDED));
                             return Promises.delay(Duration.ofMillis(settings.serviceMillis()))
-                                    .then(() -> serviceAnswer(text));
+                                    .then(() -> serviceResponse(text));
                         });
     }
 
-    /**
-     * Answers a request to a plain service.
-     *
-     * @param text The answer's text.
-     * @return The response.
-     */
-    private Promise<HttpResponse> serviceAnswer(String text) {
+    private Promise<HttpResponse> serviceResponse(String text) {
         serving--;
         servedMillis += settings.serviceMillis();
         if (faults.silent()) {
             return new SettablePromise<>();
         }
-        return Promise.of(json(new ServiceReply(settings.name(), text)));
+        return Promise.of(jsonResponse(new ServiceReply(settings.name(), text)));
     }
 
-    /**
-     * Takes an order.
-     *
-     * @param order The order.
-     * @return The response.
-     */
-    private HttpResponse order(TargetOrder order) {
+    /** Accepts an order unless its fencing token is lower than an earlier one. */
+    private HttpResponse handleOrder(TargetOrder order) {
         if (settings.checksFences() && order.fence() < fence) {
             return HttpResponse.ofCode(409).build();
         }
@@ -415,13 +335,7 @@
         return HttpResponse.ok200().build();
     }
 
-    /**
-     * Answers with JSON.
-     *
-     * @param value The value.
-     * @return The response.
-     */
-    private static HttpResponse json(Object value) {
+    private static HttpResponse jsonResponse(Object value) {
         return HttpResponse.ok200()
                 .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
                 .withBody(Json.write(value))
--- a/src/main/java/org/martenwell/standin/StreamVerifier.java
+++ b/src/main/java/org/martenwell/standin/StreamVerifier.java
@@ -7,35 +7,31 @@
 import org.martenwell.stream.EventBatch;
 import org.martenwell.stream.EventSplitter;
 
-/** Reads the stream of a stand-in engine and checks that each token comes once and in order. */
+/** Verifies that the stream of a simulated engine contains each token exactly once and in order. */
 final class StreamVerifier {
 
-    /** Cuts the stream behind whole events. */
+    /** Splits the stream at the boundaries of events. */
     private final EventSplitter splitter = new EventSplitter();
 
-    /** The text so far. */
     private final StringBuilder text = new StringBuilder();
 
-    /** The tokens so far. */
     private int tokens;
 
-    /** {@code true} once the end marker arrived. */
     private boolean ended;
 
-    /** {@code true} once an event arrived that should not have. */
+    /** {@code true} once a token was missing, repeated or out of order. */
     private boolean wrong;
 
-    /** The code of the error event, or an empty string. */
     private String error = "";
 
     /** Creates a verifier at the start of a stream. */
     StreamVerifier() {}
 
     /**
-     * Takes in bytes.
+     * Processes the next bytes of the stream.
      *
-     * @param bytes The bytes.
-     * @return How many tokens came with them.
+     * @param bytes The bytes, split at any position.
+     * @return The number of tokens that became complete.
      */
     int receive(byte[] bytes) {
         int before = tokens;
@@ -43,55 +39,34 @@
         String events = new String(batch.bytes().array(), StandardCharsets.UTF_8);
         for (String line : Splitter.on('\n').split(events)) {
             if (line.startsWith("data: {")) {
-                event(Json.read(line.substring(6).getBytes(StandardCharsets.UTF_8)));
+                verifyEvent(Json.read(line.substring(6).getBytes(StandardCharsets.UTF_8)));
             }
         }
         ended = ended || batch.ended();
         return tokens - before;
     }
 
-    /**
-     * Returns whether the stream was whole and right.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if the stream was complete and correct} */
     boolean complete() {
         return ended && !wrong && error.isEmpty();
     }
 
-    /**
-     * Returns whether a token came twice, late or not at all.
-     *
-     * @return {@code true} if so.
-     */
+    /** {@return {@code true} if a token was missing, repeated or out of order} */
     boolean isWrong() {
         return wrong;
     }
 
-    /**
-     * Returns the code of the error event.
-     *
-     * @return The code or an empty string.
-     */
+    /** {@return the code of an error event, or an empty string} */
     String error() {
         return error;
     }
 
-    /**
-     * Returns the text.
-     *
-     * @return The text so far.
-     */
+    /** {@return the text received so far} */
     String text() {
         return text.toString();
     }
 
-    /**
-     * Checks one event.
-     *
-     * @param root The event.
-     */
-    private void event(JsonNode root) {
+    private void verifyEvent(JsonNode root) {
         if (root.has("error")) {
             error = root.path("error").path("code").asText();
             return;
--- a/src/main/java/org/martenwell/standin/TargetFaults.java
+++ b/src/main/java/org/martenwell/standin/TargetFaults.java
@@ -1,25 +1,21 @@
 package org.martenwell.standin;
 
 /**
- * How a stand-in target misbehaves.
+ * The faults injected by a target stand-in.
  *
- * @param refuse {@code true} to refuse every request before it starts.
- * @param leaving {@code true} to report that it takes no new work, and refuse it.
- * @param dropAfterEvents Breaks connections after so many events, or 0 for never.
- * @param drops How many connections to break.
- * @param silent {@code true} to run requests but never answer.
+ * @param refuse {@code true} to refuse every request before starting it.
+ * @param leaving {@code true} to report that the target is draining, and to refuse new requests.
+ * @param dropAfterEvents The number of events after which a connection is broken, or 0 for never.
+ * @param drops The remaining number of connections to break.
+ * @param silent {@code true} to run requests but never respond.
  */
 public record TargetFaults(
         boolean refuse, boolean leaving, int dropAfterEvents, int drops, boolean silent) {
 
-    /** No misbehaviour. */
+    /** No faults. */
     public static final TargetFaults NONE = new TargetFaults(false, false, 0, 0, false);
 
-    /**
-     * Returns faults with one connection fewer to break.
-     *
-     * @return The faults.
-     */
+    /** {@return a copy after a connection was broken} */
     TargetFaults dropped() {
         return new TargetFaults(refuse, leaving, dropAfterEvents, drops - 1, silent);
     }
--- a/src/main/java/org/martenwell/standin/TargetSettings.java
+++ b/src/main/java/org/martenwell/standin/TargetSettings.java
@@ -4,19 +4,21 @@
 import org.martenwell.configuration.PoolKind;
 
 /**
- * The settings of a stand-in target.
+ * The settings of a target stand-in.
  *
- * @param name The target's name.
- * @param address Where it listens.
- * @param kind Whether it serves models or plain services.
- * @param serves The models or services.
- * @param slots How many requests it runs at once.
- * @param tokensPerSecond The tokens that each running request gets a second.
- * @param medianTokens The median length of an answer, in tokens; lengths are log-normal.
- * @param maxTokens The longest answer, in tokens.
- * @param serviceMillis How long a request to a plain service takes, in milliseconds.
- * @param seed Seeds the lengths.
- * @param checksFences {@code true} if it refuses orders with a lower fence than one it has seen.
+ * @param name The name of the target.
+ * @param address The listen address.
+ * @param kind The kind of the target: models or plain services.
+ * @param serves The names of the models or services.
+ * @param slots The maximum number of concurrent requests.
+ * @param tokensPerSecond The tokens per second of each running request.
+ * @param medianTokens The median length of responses, in tokens; lengths are log-normally
+ *     distributed.
+ * @param maxTokens The maximum length of a response, in tokens.
+ * @param serviceMillis The duration of a request to a plain service, in milliseconds.
+ * @param seed The seed of the response lengths.
+ * @param checksFences {@code true} to refuse orders with a lower fencing token than an earlier
+ *     order.
  */
 public record TargetSettings(
         String name,
--- a/src/main/java/org/martenwell/standin/TargetUse.java
+++ b/src/main/java/org/martenwell/standin/TargetUse.java
@@ -1,10 +1,10 @@
 package org.martenwell.standin;
 
 /**
- * How much of a stand-in target's capacity was used.
+ * The used capacity of a target stand-in since its start.
  *
- * @param produced The tokens produced.
- * @param possible The tokens that could have been produced.
- * @param servedMillis The slot time that a plain service used, in milliseconds.
+ * @param produced The number of tokens generated.
+ * @param possible The number of tokens that a fully used engine would have generated.
+ * @param servedMillis The accumulated slot time of a plain service, in milliseconds.
  */
 public record TargetUse(long produced, long possible, long servedMillis) {}
--- a/src/main/java/org/martenwell/standin/package-info.java
+++ b/src/main/java/org/martenwell/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the platform and for targets, and a tool that sends load. They serve trials,
- * demonstrations and tests; nothing of a router depends on them.
+ * Stand-ins for the platform and for targets, and a load generator, for demonstrations and tests.
+ * Production code does not depend on this package.
  */
 package org.martenwell.standin;
