--- a/src/main/java/org/martenwell/demo/Demo.java
+++ b/src/main/java/org/martenwell/demo/Demo.java
@@ -14,36 +14,36 @@
 import org.martenwell.standin.LoadSummary;
 import org.martenwell.standin.LoadTotals;
 
-/** Runs a site on loopback under uneven load and measures it. */
+/**
+ * Runs a complete site on loopback under uneven load and measures fairness, utilisation and
+ * latency.
+ */
 public final class Demo {
 
-    /** How long load is sent before anything is counted, in seconds. */
+    /** The time before the measurement starts. */
     private static final double WARM_UP_SECONDS = 3;
 
-    /** How often the numbers are looked at, in milliseconds. */
-    private static final long LOOK_MILLIS = 500;
+    /** The interval at which delivered tokens are sampled. */
+    private static final long SAMPLE_INTERVAL_MILLIS = 500;
 
-    /** Every how many looks progress is shown. */
-    private static final int SHOW_EVERY = 10;
+    /** The number of samples between two lines of progress. */
+    private static final int SAMPLES_PER_PROGRESS_LINE = 10;
 
-    /** How many routers. */
     private final int routerCount;
 
-    /** How long to measure, in seconds. */
     private final double seconds;
 
-    /** Receives progress. */
     private final PrintStream out;
 
-    /** The largest gap seen, in tokens. */
+    /** The largest gap between backlogged organisations, in tokens. */
     private long largestGap;
 
     /**
      * Creates a demonstration.
      *
-     * @param routerCount How many routers.
-     * @param seconds How long to measure, in seconds.
-     * @param out Receives progress.
+     * @param routerCount The number of routers.
+     * @param seconds The duration of the measurement, in seconds.
+     * @param out Receives addresses and progress as text.
      */
     public Demo(int routerCount, double seconds, PrintStream out) {
         this.routerCount = routerCount;
@@ -52,15 +52,15 @@
     }
 
     /**
-     * Runs the demonstration.
+     * Runs the demonstration and blocks until its end.
      *
-     * @return What was measured.
+     * @return The measurements.
      */
     public DemoSummary run() {
         DemoFleet fleet = DemoFleet.start(DemoSite.coldChain(), routerCount);
         LoopThread loadLoop = LoopThread.start("load");
         try {
-            greet(fleet);
+            printAddresses(fleet);
             LoadSettings settings =
                     new LoadSettings(
                             1, seconds, WARM_UP_SECONDS, DemoSite.load(fleet.callerAddresses()));
@@ -70,18 +70,18 @@
                     loadLoop.loop().submit(callback -> generator.run().subscribe(callback));
             DemoFleet.sleep((long) (WARM_UP_SECONDS * 1000));
             FleetSample before = fleet.sample();
-            watch(loadLoop, generator);
+            sampleUntilEnd(loadLoop, generator);
             FleetSample after = fleet.sample();
             sent.join();
-            return summary(before, after, generator);
+            return summarize(before, after, generator);
         } finally {
             loadLoop.stop();
             fleet.stop();
         }
     }
 
-    /** Prints where to call. */
-    private void greet(DemoFleet fleet) {
+    /** Prints the addresses and an API key to try. */
+    private void printAddresses(DemoFleet fleet) {
         for (var settings : fleet.routerSettings()) {
             out.printf(
                     "%s in %s: callers http://%s, operators http://%s%n",
@@ -96,32 +96,33 @@
         out.flush();
     }
 
-    /** Looks at the numbers until the load ends. */
-    private void watch(LoopThread loadLoop, LoadGenerator generator) {
+    /** Samples the delivered tokens and prints progress until the load ends. */
+    private void sampleUntilEnd(LoopThread loadLoop, LoadGenerator generator) {
         long end = System.currentTimeMillis() + (long) (seconds * 1000);
-        for (int look = 1; System.currentTimeMillis() < end; look++) {
-            DemoFleet.sleep(Math.min(LOOK_MILLIS, Math.max(1, end - System.currentTimeMillis())));
+        for (int sample = 1; System.currentTimeMillis() < end; sample++) {
+            DemoFleet.sleep(
+                    Math.min(
+                            SAMPLE_INTERVAL_MILLIS, Math.max(1, end - System.currentTimeMillis())));
             Map<String, Long> tokens = loadLoop.call(() -> Promise.of(generator.delivered()));
-            long gap = gap(tokens);
+            long gap = fairnessGap(tokens);
             largestGap = Math.max(largestGap, gap);
-            if (look % SHOW_EVERY == 0) {
+            if (sample % SAMPLES_PER_PROGRESS_LINE == 0) {
                 long sum = tokens.values().stream().mapToLong(Long::longValue).sum();
                 out.printf(
                         "%4.0f s  %8d tokens delivered, gap %d%n",
-                        look * LOOK_MILLIS / 1000.0, sum, gap);
+                        sample * SAMPLE_INTERVAL_MILLIS / 1000.0, sum, gap);
                 out.flush();
             }
         }
     }
 
-    /** Returns the gap between the organisations that always have work waiting. */
-    private static long gap(Map<String, Long> tokens) {
+    /** Returns the largest difference in tokens between two backlogged organisations. */
+    private static long fairnessGap(Map<String, Long> tokens) {
         List<Long> values = DemoSite.backlogged().stream().map(tokens::get).sorted().toList();
         return values.get(values.size() - 1) - values.get(0);
     }
 
-    /** Sums up. */
-    private DemoSummary summary(FleetSample before, FleetSample after, LoadGenerator generator) {
+    private DemoSummary summarize(FleetSample before, FleetSample after, LoadGenerator generator) {
         Map<String, LoadTotals> totals = generator.totals();
         double elapsed = (after.atMillis() - before.atMillis()) / 1000.0;
         Map<String, Long> refusals = new TreeMap<>();
@@ -150,14 +151,13 @@
                 new TreeMap<>(generator.delivered()));
     }
 
-    /** Subtracts counts. */
     private static Map<String, Long> difference(Map<String, Long> before, Map<String, Long> after) {
         Map<String, Long> difference = new TreeMap<>();
         after.forEach((key, count) -> difference.put(key, count - before.getOrDefault(key, 0L)));
         return difference;
     }
 
-    /** Sums up times to the first token. */
+    /** Returns the percentiles of the time to first token, in milliseconds. */
     private static Map<String, Long> percentiles(Collection<LoadTotals> totals) {
         Histogram all = new Histogram(3);
         totals.forEach(each -> all.add(each.firstTokenMicros()));
--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -33,26 +33,23 @@
 import org.martenwell.standin.TargetSettings;
 
 /**
- * A whole site on loopback: a stand-in platform, stand-in targets and routers, each router with a
- * loop of its own.
+ * A complete site on loopback: the platform stand-in, target stand-ins and routers, each router on
+ * its own event loop.
  */
 public final class DemoFleet {
 
-    /** The operators' token. */
+    /** The token for operator requests. */
     public static final String TOKEN = "demo-operators-token";
 
-    /** The key that peers share. */
     private static final String PEER_KEY = "demo-peer-key-demo-peer-key-demo-peer-key";
 
-    /** How many targets share a loop. */
     private static final int TARGETS_PER_LOOP = 4;
 
-    /** The longest wait for the routers to be ready, in milliseconds. */
-    private static final long READY_MILLIS = 15_000;
+    private static final long READY_TIMEOUT_MILLIS = 15_000;
 
     private final DemoSite site;
 
-    /** The loops, all to be stopped. */
+    /** All event loops, to be stopped at the end. */
     private final List<LoopThread> loops = new ArrayList<>();
 
     private final LoopThread platformLoop;
@@ -61,12 +58,12 @@
 
     private final List<StandinTarget> targets = new ArrayList<>();
 
-    /** The loops of the targets, in their order. */
+    /** The event loops of the targets, by index. */
     private final List<LoopThread> targetLoops = new ArrayList<>();
 
     private final List<RouterDaemon> routers = new ArrayList<>();
 
-    /** The loops of the routers, in their order. */
+    /** The event loops of the routers, by index. */
     private final List<LoopThread> routerLoops = new ArrayList<>();
 
     private final List<RouterSettings> routerSettings;
@@ -93,10 +90,11 @@
     }
 
     /**
-     * Starts a fleet and waits until every router is ready.
+     * Starts a fleet and waits until every router is ready. Throws {@link ErrorKind#NOT_READY} on a
+     * timeout.
      *
-     * @param site The site.
-     * @param routerCount How many routers.
+     * @param site The configuration of the site.
+     * @param routerCount The number of routers.
      * @return The running fleet.
      */
     public static DemoFleet start(DemoSite site, int routerCount) {
@@ -105,22 +103,22 @@
         return fleet;
     }
 
-    /** Stops all loops. */
+    /** Stops all event loops. */
     public void stop() {
         loops.forEach(LoopThread::stop);
     }
 
-    /** {@return the callers' addresses of the routers} */
+    /** {@return the addresses of the routers for callers, by index} */
     public List<String> callerAddresses() {
         return routerSettings.stream().map(RouterSettings::callerAddress).toList();
     }
 
-    /** {@return the settings of the routers} */
+    /** {@return the settings of the routers, by index} */
     public List<RouterSettings> routerSettings() {
         return routerSettings;
     }
 
-    /** {@return what the engines and plain services ran} */
+    /** {@return a record for each request at each target} */
     public List<RunRecord> runs() {
         List<RunRecord> runs = new ArrayList<>();
         for (int index = 0; index < targets.size(); index++) {
@@ -130,9 +128,9 @@
     }
 
     /**
-     * Returns what one target ran.
+     * Returns the requests that a target ran.
      *
-     * @param index The target's index, model replicas first.
+     * @param index The index of the target, model replicas first.
      * @return A record for each request.
      */
     public List<RunRecord> runsAt(int index) {
@@ -141,10 +139,10 @@
     }
 
     /**
-     * Changes how a target misbehaves.
+     * Sets the faults that a target injects.
      *
-     * @param index The target's index, model replicas first.
-     * @param faults The faults.
+     * @param index The index of the target, model replicas first.
+     * @param faults The faults, replacing earlier ones.
      */
     public void faults(int index, TargetFaults faults) {
         StandinTarget target = targets.get(index);
@@ -158,9 +156,9 @@
     }
 
     /**
-     * Changes how the platform misbehaves.
+     * Sets the faults that the platform injects.
      *
-     * @param faults The faults.
+     * @param faults The faults, replacing earlier ones.
      */
     public void faults(PlatformFaults faults) {
         platformLoop.call(
@@ -171,9 +169,9 @@
     }
 
     /**
-     * Stops a router at once, as if its box failed.
+     * Stops a router without draining it, as if its box failed.
      *
-     * @param index The router's index.
+     * @param index The index of the router.
      */
     public void kill(int index) {
         RouterDaemon router = routers.get(index);
@@ -181,32 +179,32 @@
     }
 
     /**
-     * Freezes a router's loop for a while, as if its box had stopped and gone on.
+     * Blocks the event loop of a router, as if its box were suspended and resumed.
      *
-     * @param index The router's index.
-     * @param millis How long, in milliseconds.
+     * @param index The index of the router.
+     * @param millis The duration, in milliseconds.
      */
     public void pause(int index, long millis) {
         routerLoops.get(index).loop().execute(() -> sleep(millis));
     }
 
     /**
-     * Starts a router again after {@link #kill}, without memory of its past.
+     * Starts a new router in place of one stopped by {@link #kill}, without its state.
      *
-     * @param index The router's index.
+     * @param index The index of the router.
      */
     public void restart(int index) {
         RouterSettings settings = routerSettings.get(index);
         LoopThread loop = routerLoops.get(index);
-        RouterDaemon router = create(settings, loop);
+        RouterDaemon router = createRouter(settings, loop);
         loop.call(router::start);
         routers.set(index, router);
     }
 
     /**
-     * Returns what operators see of a router.
+     * Returns the status of a router as shown to operators.
      *
-     * @param index The router's index.
+     * @param index The index of the router.
      * @return The status.
      */
     public RouterStatus status(int index) {
@@ -215,9 +213,9 @@
     }
 
     /**
-     * Reads the present numbers of the whole fleet.
+     * Reads the current counters of the fleet.
      *
-     * @return The numbers.
+     * @return The counters.
      */
     public FleetSample sample() {
         long bytes = 0;
@@ -264,17 +262,16 @@
         awaitReady();
     }
 
-    /** Starts a router in a loop of its own. */
+    /** Starts a router on its own event loop. */
     private void startRouter(RouterSettings settings) {
         LoopThread loop = startLoop(settings.name());
-        RouterDaemon router = create(settings, loop);
+        RouterDaemon router = createRouter(settings, loop);
         loop.call(router::start);
         routers.add(router);
         routerLoops.add(loop);
     }
 
-    /** Creates a router that does not run yet. */
-    private static RouterDaemon create(RouterSettings settings, LoopThread loop) {
+    private static RouterDaemon createRouter(RouterSettings settings, LoopThread loop) {
         return loop.call(
                 () ->
                         Promise.of(
@@ -285,7 +282,6 @@
                                         settings.name().hashCode())));
     }
 
-    /** Writes the configuration to the platform. */
     private void writeConfiguration() {
         String text = Json.print(site.configuration(targetSettings));
         platformLoop.call(
@@ -300,9 +296,9 @@
                 });
     }
 
-    /** Waits until every router is ready and knows all others. */
+    /** Waits until every router is ready and sees all others as members. */
     private void awaitReady() {
-        long deadline = System.currentTimeMillis() + READY_MILLIS;
+        long deadline = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
         while (System.currentTimeMillis() < deadline) {
             boolean all = true;
             for (int index = 0; index < routers.size(); index++) {
@@ -314,13 +310,14 @@
             }
             sleep(50);
         }
-        throw MartenwellException.of(ErrorKind.NOT_READY, "The routers did not become ready.");
+        throw MartenwellException.of(
+                ErrorKind.NOT_READY, "The routers did not become ready in time.");
     }
 
     /**
-     * Waits.
+     * Blocks the current thread.
      *
-     * @param millis How long, in milliseconds.
+     * @param millis The duration, in milliseconds.
      */
     static void sleep(long millis) {
         try {
@@ -330,14 +327,13 @@
         }
     }
 
-    /** Starts a loop that {@link #stop} stops. */
+    /** Starts an event loop that {@link #stop} stops. */
     private LoopThread startLoop(String name) {
         LoopThread loop = LoopThread.start(name);
         loops.add(loop);
         return loop;
     }
 
-    /** Builds a router's settings. */
     private RouterSettings settings(int index, List<String> ports) {
         RouterLimits limits =
                 new RouterLimits(4 << 20, 20_000, 10_000, 64L << 20, 30_000, 60_000, 0);
@@ -354,7 +350,6 @@
                 Optional.of(limits));
     }
 
-    /** Builds the platform's list of boxes. */
     private List<Box> boxes() {
         List<Box> boxes = new ArrayList<>();
         for (RouterSettings settings : routerSettings) {
--- a/src/main/java/org/martenwell/demo/DemoSite.java
+++ b/src/main/java/org/martenwell/demo/DemoSite.java
@@ -18,63 +18,62 @@
 import org.martenwell.standin.TargetSettings;
 
 /**
- * The cold-chain site: its targets, organisations and load.
+ * The configuration of the demonstration site: targets, organisations, policy and load.
  *
- * @param tokensPerSecond How many tokens a second each slot of an engine delivers.
- * @param medianTokens The median length of an answer, in tokens.
- * @param policy The program of the only policy.
+ * @param tokensPerSecond The tokens per second of each slot of an engine.
+ * @param medianTokens The median length of responses, in tokens.
+ * @param policy The policy of all contracts, a CEL expression.
  */
 public record DemoSite(double tokensPerSecond, int medianTokens, String policy) {
 
-    /** The model that all ask. */
+    /** The model that all organisations use. */
     public static final String MODEL = "cold-chain-7b";
 
-    /** The plain service. */
+    /** The plain service with repeatable requests. */
     public static final String SERVICE = "alarms";
 
-    /** The plain service whose requests must not run twice. */
+    /** The plain service whose requests must not run more than once. */
     public static final String LOCK = "batch-lock";
 
-    /** How many model replicas there are. */
+    /** The number of model replicas. */
     static final int REPLICAS = 8;
 
-    /** How many replicas of the plain service there are. */
+    /** The number of replicas of the plain services. */
     static final int APPLICATIONS = 3;
 
-    /** How many slots a model replica has. */
+    /** The slots of each model replica. */
     static final int SLOTS = 8;
 
     /** The failure domains. */
     static final List<String> DOMAINS = List.of("lahore-a", "lahore-b", "lahore-c");
 
-    /** How many slots a replica of the plain service has. */
     private static final int APPLICATION_SLOTS = 32;
 
-    /** The organisations that always have work waiting. */
+    /** The backlogged organisations, which keep a constant number of requests open. */
     private static final List<String> LARGE =
             List.of("district-east", "district-west", "vaccine-store");
 
-    /** How many small organisations there are. */
+    /** The number of organisations with little load. */
     private static final int SMALL = 7;
 
-    /** How many requests a large organisation keeps open. */
+    /** The concurrent requests of each large organisation. */
     private static final int LARGE_CONCURRENCY = 48;
 
-    /** How many requests a small organisation sends a second. */
+    /** The requests per second of each small organisation. */
     private static final double SMALL_PER_SECOND = 0.5;
 
-    /** The longest answer, in tokens. */
+    /** The maximum length of a response. */
     private static final int MAX_TOKENS = 400;
 
-    /** {@return the site as it is today} */
+    /** {@return the default site} */
     public static DemoSite coldChain() {
         return new DemoSite(36, 40, "service == '" + SERVICE + "' ? allow(7) : allow(5)");
     }
 
     /**
-     * Returns a copy with engines of another speed.
+     * Returns a copy with another speed of its engines.
      *
-     * @param tokens How many tokens a second each slot delivers.
+     * @param tokens The tokens per second of each slot.
      * @return The copy.
      */
     public DemoSite withTokensPerSecond(double tokens) {
@@ -82,9 +81,9 @@
     }
 
     /**
-     * Returns a copy with answers of another length.
+     * Returns a copy with another length of responses.
      *
-     * @param tokens The median length, in tokens.
+     * @param tokens The median length of responses, in tokens.
      * @return The copy.
      */
     public DemoSite withMedianTokens(int tokens) {
@@ -94,7 +93,7 @@
     /**
      * Returns a copy with another policy.
      *
-     * @param program The program in CEL.
+     * @param program The CEL expression.
      * @return The copy.
      */
     public DemoSite withPolicy(String program) {
@@ -102,10 +101,10 @@
     }
 
     /**
-     * Returns the settings of the stand-in targets.
+     * Returns the settings of the target stand-ins, model replicas first.
      *
-     * @param addresses Their addresses.
-     * @return The settings.
+     * @param addresses The listen addresses, one for each target.
+     * @return The settings, in the order of the addresses.
      */
     List<TargetSettings> targets(List<String> addresses) {
         List<TargetSettings> settings = new ArrayList<>();
@@ -129,9 +128,9 @@
     }
 
     /**
-     * Returns the configuration of the fleet.
+     * Builds the configuration that routers read from the platform.
      *
-     * @param targets The settings of the stand-in targets.
+     * @param targets The settings of the target stand-ins.
      * @return The configuration.
      */
     public FleetConfiguration configuration(List<TargetSettings> targets) {
@@ -148,9 +147,9 @@
     }
 
     /**
-     * Returns a caller's key of an organisation.
+     * Returns the API key of an organisation.
      *
-     * @param organisation The organisation.
+     * @param organisation The name of the organisation.
      * @return The key.
      */
     public static String key(String organisation) {
@@ -158,10 +157,10 @@
     }
 
     /**
-     * Returns the load. The large organisations each use few routers, so that none sees all of
-     * them.
+     * Returns the load of the demonstration. Each large organisation uses a subset of the routers,
+     * so that no router sees all of them.
      *
-     * @param routers The routers' addresses.
+     * @param routers The addresses of the routers.
      * @return The load of each organisation.
      */
     static List<OrganisationLoad> load(List<String> routers) {
@@ -178,12 +177,11 @@
         return loads;
     }
 
-    /** {@return the names of the organisations that always have work waiting} */
+    /** {@return the names of the backlogged organisations} */
     static List<String> backlogged() {
         return LARGE;
     }
 
-    /** Builds the load of one organisation. */
     private static OrganisationLoad load(
             String organisation, List<String> routers, int concurrency, double perSecond) {
         return new OrganisationLoad(
@@ -197,7 +195,6 @@
                 200);
     }
 
-    /** Builds the organisations. */
     private static List<Organisation> organisations() {
         List<String> names = new ArrayList<>(LARGE);
         for (int index = 0; index < SMALL; index++) {
@@ -214,7 +211,6 @@
                 .toList();
     }
 
-    /** Builds the configuration of a target. */
     private static Target target(TargetSettings settings) {
         int domain = Math.floorMod(settings.name().hashCode(), DOMAINS.size());
         return new Target(
--- a/src/main/java/org/martenwell/demo/DemoSummary.java
+++ b/src/main/java/org/martenwell/demo/DemoSummary.java
@@ -3,25 +3,27 @@
 import java.util.Map;
 
 /**
- * What a demonstration measured.
+ * The measurements of a demonstration.
  *
- * @param routers How many routers there were.
- * @param seconds How long was measured, in seconds.
- * @param requests The requests sent.
- * @param complete The answers that arrived whole.
- * @param wrongAnswers The answers that were not what they had to be.
- * @param refusals The refusals and failures by code.
- * @param utilisation The share of the engines' slots in use.
- * @param fairnessGapTokens The largest difference in tokens delivered since the warm-up between two
- *     organisations that always had work waiting, over all moments looked at.
- * @param controlBytesPerRouterSecond The bytes that a router sent to peers a second.
- * @param controlBytesByKind The bytes that all routers sent to peers, by kind of message, without
- *     what frames add.
- * @param platformCallsPerSecond The calls to the platform a second.
- * @param firstTokenMillis The times to the first token of organisations without backlog, by
- *     percentile, in milliseconds.
- * @param backloggedFirstTokenMillis The same of organisations with backlog.
- * @param tokens The tokens delivered by organisation.
+ * @param routers The number of routers.
+ * @param seconds The duration of the measurement, in seconds.
+ * @param requests The number of requests sent.
+ * @param complete The number of complete and correct responses.
+ * @param wrongAnswers The number of incorrect responses, such as streams with missing or repeated
+ *     tokens.
+ * @param refusals The number of error responses and failures, by code.
+ * @param utilisation The ratio of tokens generated to the capacity of the engines, 0 to 1.
+ * @param fairnessGapTokens The largest difference in delivered tokens between two backlogged
+ *     organisations, over all samples since the warm-up.
+ * @param controlBytesPerRouterSecond The bytes per second that each router sent to its peers.
+ * @param controlBytesByKind The bytes that all routers sent to peers by kind of message, without
+ *     framing.
+ * @param platformCallsPerSecond The calls to the platform per second.
+ * @param firstTokenMillis The time to first token of organisations without backlog in milliseconds,
+ *     by percentile.
+ * @param backloggedFirstTokenMillis The time to first token of backlogged organisations in
+ *     milliseconds, by percentile.
+ * @param tokens The number of tokens delivered, by organisation.
  */
 public record DemoSummary(
         int routers,
--- a/src/main/java/org/martenwell/demo/FleetSample.java
+++ b/src/main/java/org/martenwell/demo/FleetSample.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /**
- * The numbers of a whole fleet at one moment, all since the start.
+ * The counters of a fleet since its start, at one point in time.
  *
- * @param atMillis The moment.
- * @param peerBytes The bytes that routers sent to each other.
- * @param peerBytesByKind The same by kind of message, without what frames add.
- * @param produced The tokens that engines produced.
- * @param possible The tokens that engines could have produced.
- * @param platformCalls The calls to the platform.
+ * @param atMillis The time of the sample, in milliseconds since the epoch.
+ * @param peerBytes The bytes that routers sent to each other, including framing.
+ * @param peerBytesByKind The bytes sent by kind of message, without framing.
+ * @param produced The number of tokens that engines generated.
+ * @param possible The number of tokens that fully used engines would have generated.
+ * @param platformCalls The number of calls to the platform.
  */
 public record FleetSample(
         long atMillis,
--- a/src/main/java/org/martenwell/demo/package-info.java
+++ b/src/main/java/org/martenwell/demo/package-info.java
@@ -1,2 +1,2 @@
-/** The demonstration: a whole small site on loopback in one process, under uneven load. */
+/** A demonstration: a complete small site on loopback in one process, under uneven load. */
 package org.martenwell.demo;
--- a/src/test/java/org/martenwell/measure/FloodMain.java
+++ b/src/test/java/org/martenwell/measure/FloodMain.java
@@ -13,18 +13,20 @@
 import org.martenwell.standin.LoadTotals;
 import org.martenwell.standin.OrganisationLoad;
 
-/** Measures what a flood by one organisation does to the first tokens of small ones. */
+/**
+ * Measures the effect of a load spike of one organisation on the time to first token of small ones.
+ */
 final class FloodMain {
 
     private static final int SECONDS = 20;
-    private static final int FLOOD = 400;
+    private static final int FLOOD_CONCURRENCY = 400;
 
     private FloodMain() {}
 
-    /** Runs the same load without and with the flood, through real routers. */
+    /** Runs the load once with normal and once with increased concurrency of one organisation. */
     public static void main(String[] arguments) {
         run("calm", 48);
-        run("flood", FLOOD);
+        run("flood", FLOOD_CONCURRENCY);
     }
 
     private static void run(String name, int concurrency) {
@@ -43,26 +45,26 @@
             LoadGenerator generator =
                     loop.call(() -> Promise.of(new LoadGenerator(loop.loop(), settings)));
             loop.call(generator::run);
-            Histogram small = new Histogram(3);
+            Histogram smallFirstTokens = new Histogram(3);
             generator
                     .totals()
                     .forEach(
                             (organisation, totals) -> {
                                 if (organisation.startsWith("clinic")) {
-                                    small.add(totals.firstTokenMicros());
+                                    smallFirstTokens.add(totals.firstTokenMicros());
                                 }
                             });
-            LoadTotals flooding = generator.totals().get("vaccine-store");
+            LoadTotals flood = generator.totals().get("vaccine-store");
             System.out.printf(
                     "%s: small organisations, first token p50 %d p95 %d p99 %d us of %d;"
                             + " the large one sent %d, refused %s%n",
                     name,
-                    small.getValueAtPercentile(50),
-                    small.getValueAtPercentile(95),
-                    small.getValueAtPercentile(99),
-                    small.getTotalCount(),
-                    flooding.requests(),
-                    flooding.refusals());
+                    smallFirstTokens.getValueAtPercentile(50),
+                    smallFirstTokens.getValueAtPercentile(95),
+                    smallFirstTokens.getValueAtPercentile(99),
+                    smallFirstTokens.getTotalCount(),
+                    flood.requests(),
+                    flood.refusals());
         } finally {
             loop.stop();
             fleet.stop();
--- a/src/test/java/org/martenwell/measure/MeasureMain.java
+++ b/src/test/java/org/martenwell/measure/MeasureMain.java
@@ -11,24 +11,24 @@
 import org.martenwell.json.Json;
 
 /**
- * Measures slopes, writes them to docs/measured/slopes.json and makes the tables of
- * docs/CAPACITY.md from that file alone. Run by {@code mvn -B -Pmeasure verify}; with {@code
- * tables} as its argument it only makes the tables again.
+ * Measures how costs grow with the size of a fleet, writes the results to docs/measured/slopes.json
+ * and generates the table in docs/CAPACITY.md from that file. Run by {@code mvn -B -Pmeasure
+ * verify}; the argument {@code tables} skips the measurement.
  */
 final class MeasureMain {
 
-    private static final Path DATA = Path.of("docs/measured/slopes.json");
-    private static final Path PAGE = Path.of("docs/CAPACITY.md");
-    private static final String BEGIN = "<!-- slopes begin -->\n";
-    private static final String END = "<!-- slopes end -->";
+    private static final Path RESULTS_FILE = Path.of("docs/measured/slopes.json");
+    private static final Path PAGE_FILE = Path.of("docs/CAPACITY.md");
+    private static final String BEGIN_MARKER = "<!-- slopes begin -->\n";
+    private static final String END_MARKER = "<!-- slopes end -->";
 
     private MeasureMain() {}
 
-    /** Measures, or only makes the tables. */
+    /** Measures unless the first argument is {@code tables}, and generates the table. */
     public static void main(String[] arguments) throws IOException {
         if (arguments.length == 0 || !arguments[0].equals("tables")) {
-            Measured measured =
-                    new Measured(
+            Results measured =
+                    new Results(
                             LocalDate.now(ZoneOffset.UTC).toString(),
                             System.getProperty("os.arch")
                                     + ", "
@@ -37,17 +37,18 @@
                                     + System.getProperty("java.version"),
                             System.getProperty("commit", "unknown"),
                             new SlopeMeasurement().measure());
-            Files.createDirectories(DATA.getParent());
-            Files.writeString(DATA, Json.print(measured) + "\n");
+            Files.createDirectories(RESULTS_FILE.getParent());
+            Files.writeString(RESULTS_FILE, Json.print(measured) + "\n");
         }
-        Measured data = Json.read(Files.readAllBytes(DATA), Measured.class);
-        String page = Files.readString(PAGE);
-        int begin = page.indexOf(BEGIN) + BEGIN.length();
+        Results data = Json.read(Files.readAllBytes(RESULTS_FILE), Results.class);
+        String page = Files.readString(PAGE_FILE);
+        int begin = page.indexOf(BEGIN_MARKER) + BEGIN_MARKER.length();
         Files.writeString(
-                PAGE, page.substring(0, begin) + table(data) + page.substring(page.indexOf(END)));
+                PAGE_FILE,
+                page.substring(0, begin) + table(data) + page.substring(page.indexOf(END_MARKER)));
     }
 
-    private static String table(Measured data) {
+    private static String table(Results data) {
         List<String> rows = new ArrayList<>();
         rows.add(
                 "Measured on " + data.date() + ", " + data.machine() + ", commit " + data.commit());
@@ -69,6 +70,6 @@
         return String.join("\n", rows) + "\n";
     }
 
-    /** The data file. */
-    record Measured(String date, String machine, String commit, List<Slope> slopes) {}
+    /** The content of the results file. */
+    record Results(String date, String machine, String commit, List<Slope> slopes) {}
 }
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -39,47 +39,47 @@
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 
-/** Measures the slopes that docs/CAPACITY.md is worked out from. */
+/** Measures message sizes and processing times at several fleet sizes, for docs/CAPACITY.md. */
 final class SlopeMeasurement {
 
     private static final int REPETITIONS = 7;
     private static final int[] ORGANISATIONS = {10, 100, 330};
     private static final int[] MEMBERS = {9, 32, 128, 380};
-    private static final int[] KEPT = {1, 8, 26};
+    private static final int[] COORDINATED_TARGETS = {1, 8, 26};
     private static final int[] TARGETS = {26, 1_000, 10_000};
 
     private final List<Slope> slopes = new ArrayList<>();
 
     List<Slope> measure() {
         for (int count : ORGANISATIONS) {
-            messages(count);
-            counters(count);
-            configuration(count);
+            measureMessages(count);
+            measureCounters(count);
+            measureConfiguration(count);
         }
-        for (int kept : KEPT) {
+        for (int coordinated : COORDINATED_TARGETS) {
             for (int backlogged : new int[] {1, 10, 33}) {
-                decisions(kept, backlogged);
+                measureDecisions(coordinated, backlogged);
             }
         }
         for (int members : MEMBERS) {
-            assignments(members, 1_000);
+            measureAssignments(members, 1_000);
         }
         for (int targets : TARGETS) {
-            assignments(380, targets);
+            measureAssignments(380, targets);
         }
         return slopes;
     }
 
-    /** Sizes and times of messages, after names were written once. */
-    private void messages(int organisations) {
-        message("service report", organisations, serviceReport(organisations, 1));
+    /** Measures message sizes and times after the names are in the dictionary of the connection. */
+    private void measureMessages(int organisations) {
+        measureMessage("service report", organisations, serviceReport(organisations, 1));
         List<Demand> demands = new ArrayList<>();
         List<Holding> holdings = new ArrayList<>();
         for (int index = 0; index < organisations / 10; index++) {
             demands.add(new Demand(Pool.ofModel("model"), name(index), 8, 4_000));
             holdings.add(new Holding("target-1", 1, name(index), 70_000, 69_000, 9, 0));
         }
-        message(
+        measureMessage(
                 "slot report",
                 organisations,
                 new SlotReport(
@@ -91,7 +91,7 @@
                         demands,
                         holdings,
                         List.of()));
-        message(
+        measureMessage(
                 "slot grants",
                 organisations,
                 new SlotGrants(
@@ -100,18 +100,18 @@
                         1L << 40,
                         false,
                         List.of(new SlotGrant("target-1", 1, name(1), 70_000, false))));
-        message(
+        measureMessage(
                 "heartbeat",
                 organisations,
                 new Heartbeat("router-1", 1L << 40, 70_000, "10.1.2.3:7003", "domain", true, 900));
     }
 
-    private void message(String name, int organisations, PeerMessage message) {
+    private void measureMessage(String name, int organisations, PeerMessage message) {
         MessageWriter writer = new MessageWriter();
         MessageReader reader = new MessageReader();
         reader.read(writer.write(message));
-        byte[] form = writer.write(message);
-        add(name + " size", organisations + " organisations", form.length, "bytes");
+        byte[] encoded = writer.write(message);
+        add(name + " size", organisations + " organisations", encoded.length, "bytes");
         time(
                 name + " written and read",
                 organisations + " organisations",
@@ -119,7 +119,7 @@
                 () -> reader.read(writer.write(message)));
     }
 
-    private void counters(int organisations) {
+    private void measureCounters(int organisations) {
         ServiceCounters counters = new ServiceCounters("router-0", 1);
         long[] sequence = {1};
         time(
@@ -132,7 +132,7 @@
                 });
     }
 
-    private void configuration(int organisations) {
+    private void measureConfiguration(int organisations) {
         FleetConfiguration configuration = configuration(organisations, organisations * 10);
         String text = Json.print(configuration);
         String size = organisations + " organisations, " + organisations * 10 + " targets";
@@ -148,14 +148,17 @@
                                 1, FleetConfigurationReader.INSTANCE.read("fleet", text)));
     }
 
-    /** One keeper's decisions: a slot comes back and goes to the least served of the backlogged. */
-    private void decisions(int kept, int backlogged) {
+    /**
+     * Measures the decisions of a coordinator: a released slot goes to the backlogged organisation
+     * with the least service.
+     */
+    private void measureDecisions(int coordinated, int backlogged) {
         SchedulingParameters parameters = SchedulingParameters.DEFAULTS;
         ServiceCounters counters = new ServiceCounters("router-0", 1);
         SlotCoordinator coordinator =
                 new SlotCoordinator("router-0", 1, parameters, counters, GrantListener.NO_OP);
         Set<String> members = new HashSet<>(Set.of("router-0", "router-1"));
-        List<Target> targets = targets(kept, 1);
+        List<Target> targets = targets(coordinated, 1);
         coordinator.assign(targets, members, 0);
         long[] sequence = {1};
         List<Demand> demands = new ArrayList<>();
@@ -166,34 +169,41 @@
                 new SlotReport("router-1", 1, 1, sequence[0], true, demands, List.of(), List.of()),
                 10_000);
         Map<String, Long> totals = new HashMap<>();
-        keep(totals, coordinator.allocate(10_000));
+        recordTotals(totals, coordinator.allocate(10_000));
         time(
                 "keeper takes a report, grants a slot",
-                kept + " targets kept, " + backlogged + " backlogged",
+                coordinated + " targets kept, " + backlogged + " backlogged",
                 500,
                 () -> {
                     sequence[0]++;
-                    Map.Entry<String, Long> any = totals.entrySet().iterator().next();
-                    List<Holding> back = new ArrayList<>();
-                    String[] parts = any.getKey().split("/", -1);
-                    back.add(
+                    Map.Entry<String, Long> granted = totals.entrySet().iterator().next();
+                    List<Holding> released = new ArrayList<>();
+                    String[] parts = granted.getKey().split("/", -1);
+                    released.add(
                             new Holding(
                                     parts[0],
                                     Long.parseLong(parts[1]),
                                     parts[2],
-                                    any.getValue(),
-                                    any.getValue(),
+                                    granted.getValue(),
+                                    granted.getValue(),
                                     0,
                                     0));
                     coordinator.receive(
                             new SlotReport(
-                                    "router-1", 1, 1, sequence[0], false, demands, back, List.of()),
+                                    "router-1",
+                                    1,
+                                    1,
+                                    sequence[0],
+                                    false,
+                                    demands,
+                                    released,
+                                    List.of()),
                             10_000 + sequence[0]);
-                    keep(totals, coordinator.allocate(10_000 + sequence[0]));
+                    recordTotals(totals, coordinator.allocate(10_000 + sequence[0]));
                 });
     }
 
-    private static void keep(Map<String, Long> totals, Map<String, SlotGrants> messages) {
+    private static void recordTotals(Map<String, Long> totals, Map<String, SlotGrants> messages) {
         for (SlotGrants message : messages.values()) {
             for (SlotGrant grant : message.grants()) {
                 totals.put(
@@ -203,7 +213,7 @@
         }
     }
 
-    private void assignments(int members, int targetCount) {
+    private void measureAssignments(int members, int targetCount) {
         List<CoordinatorCandidate> candidates =
                 IntStream.range(0, members)
                         .mapToObj(
