--- a/src/main/java/org/martenwell/command/LoadCommand.java
+++ b/src/main/java/org/martenwell/command/LoadCommand.java
@@ -6,7 +6,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.martenwell.json.Json;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.settings.SettingsReader;
 import org.martenwell.standin.LoadGenerator;
 import org.martenwell.standin.LoadSettings;
@@ -41,7 +41,7 @@
         LoadSettings settings =
                 SettingsReader.of(SCHEMA, LoadSettings.class)
                         .read(Path.of(line.getOptionValue(OptionSet.SETTINGS)));
-        LoopThread loop = LoopThread.start("load");
+        EventLoopThread loop = EventLoopThread.start("load");
         try {
             LoadGenerator generator =
                     loop.call(() -> Promise.of(new LoadGenerator(loop.loop(), settings)));
--- a/src/main/java/org/martenwell/command/OperatorClient.java
+++ b/src/main/java/org/martenwell/command/OperatorClient.java
@@ -12,7 +12,7 @@
 import org.martenwell.http.HttpAnswer;
 import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 
 /** Calls a router's operators' port. */
 final class OperatorClient {
@@ -73,7 +73,7 @@
      */
     private HttpAnswer call(
             HttpMethod method, String path, List<HeaderField> headers, byte[] body) {
-        LoopThread loop = LoopThread.start("operator-client");
+        EventLoopThread loop = EventLoopThread.start("operator-client");
         try {
             HttpAnswer answer =
                     loop.call(
--- a/src/main/java/org/martenwell/demo/Demo.java
+++ b/src/main/java/org/martenwell/demo/Demo.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.standin.LoadGenerator;
 import org.martenwell.standin.LoadSettings;
 import org.martenwell.standin.LoadSummary;
@@ -58,7 +58,7 @@
      */
     public DemoSummary run() {
         DemoFleet fleet = DemoFleet.start(DemoSite.coldChain(), routerCount);
-        LoopThread loadLoop = LoopThread.start("load");
+        EventLoopThread loadLoop = EventLoopThread.start("load");
         try {
             printAddresses(fleet);
             LoadSettings settings =
@@ -97,7 +97,7 @@
     }
 
     /** Samples the delivered tokens and prints progress until the load ends. */
-    private void sampleUntilEnd(LoopThread loadLoop, LoadGenerator generator) {
+    private void sampleUntilEnd(EventLoopThread loadLoop, LoadGenerator generator) {
         long end = System.currentTimeMillis() + (long) (seconds * 1000);
         for (int sample = 1; System.currentTimeMillis() < end; sample++) {
             DemoFleet.sleep(
--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -20,7 +20,7 @@
 import org.martenwell.router.ConfigurationStore;
 import org.martenwell.router.RouterStatus;
 import org.martenwell.schedule.SchedulingParameters;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.settings.RouterLimits;
 import org.martenwell.settings.RouterSettings;
@@ -50,21 +50,21 @@
     private final DemoSite site;
 
     /** All event loops, to be stopped at the end. */
-    private final List<LoopThread> loops = new ArrayList<>();
+    private final List<EventLoopThread> loops = new ArrayList<>();
 
-    private final LoopThread platformLoop;
+    private final EventLoopThread platformLoop;
 
     private final StandinPlatform platform;
 
     private final List<StandinTarget> targets = new ArrayList<>();
 
     /** The event loops of the targets, by index. */
-    private final List<LoopThread> targetLoops = new ArrayList<>();
+    private final List<EventLoopThread> targetLoops = new ArrayList<>();
 
     private final List<RouterDaemon> routers = new ArrayList<>();
 
     /** The event loops of the routers, by index. */
-    private final List<LoopThread> routerLoops = new ArrayList<>();
+    private final List<EventLoopThread> routerLoops = new ArrayList<>();
 
     private final List<RouterSettings> routerSettings;
 
@@ -105,7 +105,7 @@
 
     /** Stops all event loops. */
     public void stop() {
-        loops.forEach(LoopThread::stop);
+        loops.forEach(EventLoopThread::stop);
     }
 
     /** {@return the addresses of the routers for callers, by index} */
@@ -195,7 +195,7 @@
      */
     public void restart(int index) {
         RouterSettings settings = routerSettings.get(index);
-        LoopThread loop = routerLoops.get(index);
+        EventLoopThread loop = routerLoops.get(index);
         RouterDaemon router = createRouter(settings, loop);
         loop.call(router::start);
         routers.set(index, router);
@@ -245,7 +245,7 @@
 
     private void start() {
         platformLoop.call(platform::start);
-        LoopThread shared = null;
+        EventLoopThread shared = null;
         for (int index = 0; index < targetSettings.size(); index++) {
             if (index % TARGETS_PER_LOOP == 0) {
                 shared = startLoop("targets-" + index / TARGETS_PER_LOOP);
@@ -264,14 +264,14 @@
 
     /** Starts a router on its own event loop. */
     private void startRouter(RouterSettings settings) {
-        LoopThread loop = startLoop(settings.name());
+        EventLoopThread loop = startLoop(settings.name());
         RouterDaemon router = createRouter(settings, loop);
         loop.call(router::start);
         routers.add(router);
         routerLoops.add(loop);
     }
 
-    private static RouterDaemon createRouter(RouterSettings settings, LoopThread loop) {
+    private static RouterDaemon createRouter(RouterSettings settings, EventLoopThread loop) {
         return loop.call(
                 () ->
                         Promise.of(
@@ -328,8 +328,8 @@
     }
 
     /** Starts an event loop that {@link #stop} stops. */
-    private LoopThread startLoop(String name) {
-        LoopThread loop = LoopThread.start(name);
+    private EventLoopThread startLoop(String name) {
+        EventLoopThread loop = EventLoopThread.start(name);
         loops.add(loop);
         return loop;
     }
--- a/src/main/java/org/martenwell/service/LoopThread.java
+++ b/src/main/java/org/martenwell/service/EventLoopThread.java
@@ -8,13 +8,13 @@
 import org.martenwell.error.MartenwellException;
 
 /** An event loop that runs on its own daemon thread. */
-public final class LoopThread {
+public final class EventLoopThread {
 
     private final Eventloop loop;
 
     private final Thread thread;
 
-    private LoopThread(String name) {
+    private EventLoopThread(String name) {
         loop = Loops.named(name);
         thread = new Thread(loop, name);
         thread.setDaemon(true);
@@ -26,8 +26,8 @@
      * @param name The name of the thread.
      * @return The running event loop.
      */
-    public static LoopThread start(String name) {
-        LoopThread thread = new LoopThread(name);
+    public static EventLoopThread start(String name) {
+        EventLoopThread thread = new EventLoopThread(name);
         thread.loop.keepAlive(true);
         thread.thread.start();
         return thread;
--- a/src/test/java/org/martenwell/daemon/RouterDaemonTest.java
+++ b/src/test/java/org/martenwell/daemon/RouterDaemonTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.settings.RouterLimits;
 import org.martenwell.settings.RouterSettings;
@@ -25,12 +25,12 @@
             new RouterLimits(1024, 2, 10, 10_000, 1_000, 1_000, 0);
 
     private final List<String> ports = LoopbackPorts.free(4);
-    private LoopThread loop;
+    private EventLoopThread loop;
     private RouterDaemon router;
 
     @BeforeEach
     void startRouter() {
-        loop = LoopThread.start("router");
+        loop = EventLoopThread.start("router");
         RouterSettings settings =
                 new RouterSettings(
                         "router",
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 
 class CallerServerTest {
 
-    private final LoopThread thread = LoopThread.start("test-callers");
+    private final EventLoopThread thread = EventLoopThread.start("test-callers");
 
     private final InetSocketAddress address = IpAddress.of(LoopbackPorts.free(1).get(0));
 
--- a/src/test/java/org/martenwell/exchange/IdleConnectionMemoryTest.java
+++ b/src/test/java/org/martenwell/exchange/IdleConnectionMemoryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 
 /**
@@ -28,7 +28,7 @@
     /** The maximum heap growth per idle connection, in bytes. */
     private static final long MAX_BYTES_PER_CONNECTION = 10_000;
 
-    private final LoopThread thread = LoopThread.start("idle-connections");
+    private final EventLoopThread thread = EventLoopThread.start("idle-connections");
 
     private final List<Socket> clients = new ArrayList<>();
 
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 
 class TargetConnectionsTest {
 
@@ -29,7 +29,7 @@
     /** A complete response to the second request. */
     private static final String SECOND = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\ncd";
 
-    private final LoopThread thread = LoopThread.start("test-targets");
+    private final EventLoopThread thread = EventLoopThread.start("test-targets");
 
     /** The ids in all response heads. */
     private final List<String> heads = new CopyOnWriteArrayList<>();
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -20,7 +20,7 @@
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.settings.GatewaySettings;
 
@@ -32,7 +32,7 @@
 
     private static final List<String> DOMAINS = List.of("x", "y");
 
-    private final LoopThread thread = LoopThread.start("test-reports");
+    private final EventLoopThread thread = EventLoopThread.start("test-reports");
 
     private final List<String> addresses = LoopbackPorts.free(SIZE);
 
--- a/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -17,7 +17,7 @@
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.RequestSummary;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 
 /** Tests the detection of crashes by probes and by changes of the directory. */
@@ -27,7 +27,7 @@
             new SuspectRequest(
                     new Fingerprint(1, 2), new RequestSummary("GET", "h", "/", "clinic"));
 
-    private final LoopThread thread = LoopThread.start("target-crash-detector");
+    private final EventLoopThread thread = EventLoopThread.start("target-crash-detector");
 
     private final String address = LoopbackPorts.free(1).get(0);
 
--- a/src/test/java/org/martenwell/measure/FloodMain.java
+++ b/src/test/java/org/martenwell/measure/FloodMain.java
@@ -7,7 +7,7 @@
 import org.HdrHistogram.Histogram;
 import org.martenwell.demo.DemoFleet;
 import org.martenwell.demo.DemoSite;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.standin.LoadGenerator;
 import org.martenwell.standin.LoadSettings;
 import org.martenwell.standin.LoadTotals;
@@ -31,7 +31,7 @@
 
     private static void run(String name, int concurrency) {
         DemoFleet fleet = DemoFleet.start(DemoSite.coldChain(), 9);
-        LoopThread loop = LoopThread.start("load");
+        EventLoopThread loop = EventLoopThread.start("load");
         try {
             List<String> routers = fleet.callerAddresses();
             List<OrganisationLoad> loads = new ArrayList<>();
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -12,7 +12,7 @@
 import org.martenwell.message.PeerMessage;
 import org.martenwell.service.Conditions;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 
 /** Tests that peers notice connections that went silent without a reset. */
@@ -21,7 +21,7 @@
     /** How long a read may take until a test fails, in milliseconds. */
     private static final int READ_MILLIS = 30_000;
 
-    private final LoopThread thread = LoopThread.start("test-peers");
+    private final EventLoopThread thread = EventLoopThread.start("test-peers");
 
     private final String address = LoopbackPorts.free(1).get(0);
 
--- a/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
+++ b/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
@@ -14,7 +14,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
 import org.martenwell.http.HttpCalls;
-import org.martenwell.service.LoopThread;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.standin.StandinTarget;
 import org.martenwell.standin.TargetSettings;
@@ -25,12 +25,12 @@
     private final List<String> ports = LoopbackPorts.free(2);
 
     private final Target target = target(ports.get(0));
-    private LoopThread loop;
+    private EventLoopThread loop;
     private HttpTargetConnector connector;
 
     @BeforeEach
     void startTarget() {
-        loop = LoopThread.start("targets");
+        loop = EventLoopThread.start("targets");
         TargetSettings settings =
                 new TargetSettings(
                         "t", ports.get(0), PoolKind.MODEL, List.of("m"), 2, 500, 5, 10, 0, 1, true);
