--- a/src/main/java/org/martenwell/command/GatewayCommand.java
+++ b/src/main/java/org/martenwell/command/GatewayCommand.java
@@ -14,7 +14,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.gateway.GatewayDaemon;
 import org.martenwell.observe.LogEvent;
-import org.martenwell.service.Loops;
+import org.martenwell.service.EventLoops;
 import org.martenwell.settings.GatewaySettings;
 import org.martenwell.settings.SettingsReader;
 
@@ -80,7 +80,7 @@
     public void run(CommandLine line, PrintStream out) {
         Path path = path(line);
         GatewaySettings settings = SettingsReader.ofGateway().read(path);
-        Eventloop loop = Loops.monotonic();
+        Eventloop loop = EventLoops.monotonic();
         loop.keepAlive(true);
         GatewayDaemon gateway = new GatewayDaemon(loop, settings, new Random());
         ProcessSignals.handle("TERM", () -> loop.execute(() -> drain(loop, gateway)));
--- a/src/main/java/org/martenwell/command/RouterCommand.java
+++ b/src/main/java/org/martenwell/command/RouterCommand.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.Options;
 import org.martenwell.daemon.RouterDaemon;
 import org.martenwell.schedule.SchedulingParameters;
-import org.martenwell.service.Loops;
+import org.martenwell.service.EventLoops;
 import org.martenwell.settings.RouterSettings;
 import org.martenwell.settings.SettingsReader;
 
@@ -37,7 +37,7 @@
     public void run(CommandLine line, PrintStream out) {
         Path path = Path.of(line.getOptionValue(OptionSet.SETTINGS));
         RouterSettings settings = SettingsReader.ofRouter().read(path);
-        Eventloop loop = Loops.current();
+        Eventloop loop = EventLoops.current();
         RouterDaemon router =
                 new RouterDaemon(
                         loop,
--- a/src/main/java/org/martenwell/command/StandinCommand.java
+++ b/src/main/java/org/martenwell/command/StandinCommand.java
@@ -9,7 +9,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.router.DrainReport;
-import org.martenwell.service.Loops;
+import org.martenwell.service.EventLoops;
 import org.martenwell.service.ManagedService;
 import org.martenwell.settings.SettingsReader;
 import org.martenwell.standin.PlatformSettings;
@@ -48,7 +48,7 @@
     public void run(CommandLine line, PrintStream out) {
         Path path = Path.of(line.getOptionValue(OptionSet.SETTINGS));
         String kind = line.getArgList().isEmpty() ? "" : line.getArgList().get(0);
-        Eventloop loop = Loops.current();
+        Eventloop loop = EventLoops.current();
         ManagedService standin =
                 switch (kind) {
                     case "platform" ->
--- a/src/main/java/org/martenwell/service/EventLoopThread.java
+++ b/src/main/java/org/martenwell/service/EventLoopThread.java
@@ -15,7 +15,7 @@
     private final Thread thread;
 
     private EventLoopThread(String name) {
-        loop = Loops.named(name);
+        loop = EventLoops.named(name);
         thread = new Thread(loop, name);
         thread.setDaemon(true);
     }
--- a/src/main/java/org/martenwell/service/Loops.java
+++ b/src/main/java/org/martenwell/service/EventLoops.java
@@ -8,12 +8,12 @@
 import org.martenwell.observe.LogEvent;
 
 /** Creates event loops that log uncaught exceptions. */
-public final class Loops {
+public final class EventLoops {
 
-    private static final Logger LOGGER = LogManager.getLogger(Loops.class);
+    private static final Logger LOGGER = LogManager.getLogger(EventLoops.class);
 
     /** Not instantiated. */
-    private Loops() {}
+    private EventLoops() {}
 
     /**
      * Creates an event loop for a thread that is started later.
@@ -22,7 +22,7 @@
      * @return The event loop.
      */
     public static Eventloop named(String name) {
-        return Eventloop.builder().withThreadName(name).withFatalErrorHandler(Loops::log).build();
+        return Eventloop.builder().withThreadName(name).withFatalErrorHandler(EventLoops::log).build();
     }
 
     /**
@@ -31,7 +31,7 @@
      * @return The event loop.
      */
     public static Eventloop current() {
-        return Eventloop.builder().withCurrentThread().withFatalErrorHandler(Loops::log).build();
+        return Eventloop.builder().withCurrentThread().withFatalErrorHandler(EventLoops::log).build();
     }
 
     /**
@@ -44,7 +44,7 @@
         return Eventloop.builder()
                 .withTimeProvider(() -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()))
                 .withCurrentThread()
-                .withFatalErrorHandler(Loops::log)
+                .withFatalErrorHandler(EventLoops::log)
                 .build();
     }
 
