--- a/src/main/java/org/martenwell/command/ApplyCommand.java
+++ b/src/main/java/org/martenwell/command/ApplyCommand.java
@@ -11,7 +11,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderField;
-import org.martenwell.http.HttpAnswer;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.operator.OperatorServlet;
 import org.martenwell.settings.SettingsReader;
 
@@ -60,7 +60,7 @@
             dryRun(client, base, out);
             return;
         }
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 client.change(
                         HttpMethod.PUT,
                         "/configuration",
--- a/src/main/java/org/martenwell/command/DrainCommand.java
+++ b/src/main/java/org/martenwell/command/DrainCommand.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
-import org.martenwell.http.HttpAnswer;
+import org.martenwell.http.BufferedHttpResponse;
 
 /** Drains a router. */
 enum DrainCommand implements Command {
@@ -32,7 +32,7 @@
     @Override
     public void run(CommandLine line, PrintStream out) {
         OperatorClient client = new OperatorClient(line.getOptionValue(OptionSet.OPERATOR));
-        HttpAnswer answer =
+        BufferedHttpResponse answer =
                 client.change(
                         HttpMethod.POST, "/drain", OptionSet.token(line), List.of(), new byte[0]);
         out.print(new String(answer.body(), StandardCharsets.UTF_8));
--- a/src/main/java/org/martenwell/command/OperatorClient.java
+++ b/src/main/java/org/martenwell/command/OperatorClient.java
@@ -9,7 +9,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderField;
-import org.martenwell.http.HttpAnswer;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
 import org.martenwell.service.EventLoopThread;
@@ -41,7 +41,7 @@
      * @param path The path.
      * @return The answer, which is a success.
      */
-    HttpAnswer get(String path) {
+    BufferedHttpResponse get(String path) {
         return call(HttpMethod.GET, path, List.of(), new byte[0]);
     }
 
@@ -55,7 +55,7 @@
      * @param body The body.
      * @return The answer, which is a success.
      */
-    HttpAnswer change(
+    BufferedHttpResponse change(
             HttpMethod method, String path, String token, List<HeaderField> headers, byte[] body) {
         List<HeaderField> all = new ArrayList<>(headers);
         all.add(new HeaderField("Authorization", "Bearer " + token));
@@ -71,11 +71,11 @@
      * @param body The body.
      * @return The answer, which is a success.
      */
-    private HttpAnswer call(
+    private BufferedHttpResponse call(
             HttpMethod method, String path, List<HeaderField> headers, byte[] body) {
         EventLoopThread loop = EventLoopThread.start("operator-client");
         try {
-            HttpAnswer answer =
+            BufferedHttpResponse answer =
                     loop.call(
                             () ->
                                     HttpCalls.pooled(loop.loop(), MAX_BODY_BYTES)
@@ -100,7 +100,7 @@
      * @param answer The answer.
      * @return The exception with its kind.
      */
-    private static MartenwellException failure(HttpAnswer answer) {
+    private static MartenwellException failure(BufferedHttpResponse answer) {
         String text = new String(answer.body(), StandardCharsets.UTF_8);
         try {
             JsonNode error = Json.read(answer.body()).path("error");
--- a/src/main/java/org/martenwell/command/ShowCommand.java
+++ b/src/main/java/org/martenwell/command/ShowCommand.java
@@ -7,7 +7,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.HttpAnswer;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.operator.OperatorServlet;
 
 /** Shows the configuration in force at a router. */
@@ -34,7 +34,7 @@
     @Override
     public void run(CommandLine line, PrintStream out) {
         OperatorClient client = new OperatorClient(line.getOptionValue(OptionSet.OPERATOR));
-        HttpAnswer answer = client.get("/configuration");
+        BufferedHttpResponse answer = client.get("/configuration");
         out.println("// version " + versionOf(answer));
         out.print(new String(answer.body(), StandardCharsets.UTF_8));
         out.println();
@@ -63,7 +63,7 @@
      * @param answer The answer.
      * @return The version.
      */
-    private static String versionOf(HttpAnswer answer) {
+    private static String versionOf(BufferedHttpResponse answer) {
         return HeaderFields.find(answer.headers(), OperatorServlet.VERSION).orElse("0");
     }
 }
--- a/src/main/java/org/martenwell/http/HttpAnswer.java
+++ b/src/main/java/org/martenwell/http/BufferedHttpResponse.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A response whose body was read completely. */
-public final class HttpAnswer {
+public final class BufferedHttpResponse {
 
     private final int status;
 
@@ -18,7 +18,7 @@
      * @param headers The header fields.
      * @param body The body, not copied; empty if there is none.
      */
-    public HttpAnswer(int status, List<HeaderField> headers, byte[] body) {
+    public BufferedHttpResponse(int status, List<HeaderField> headers, byte[] body) {
         this.status = status;
         this.headers = List.copyOf(headers);
         this.body = body;
--- a/src/main/java/org/martenwell/http/HttpCalls.java
+++ b/src/main/java/org/martenwell/http/HttpCalls.java
@@ -72,13 +72,13 @@
      * @param timeoutMillis The timeout for the complete exchange, in milliseconds.
      * @return The response.
      */
-    public Promise<HttpAnswer> exchange(
+    public Promise<BufferedHttpResponse> exchange(
             HttpMethod method,
             String url,
             List<HeaderField> headers,
             byte[] body,
             long timeoutMillis) {
-        Promise<HttpAnswer> response =
+        Promise<BufferedHttpResponse> response =
                 send(request(method, url, headers, body)).then(HttpCalls::readWhole);
         return Promises.timeout(Duration.ofMillis(timeoutMillis), response);
     }
@@ -120,10 +120,10 @@
      * @param response The response.
      * @return The response.
      */
-    public static Promise<HttpAnswer> readWhole(HttpResponse response) {
+    public static Promise<BufferedHttpResponse> readWhole(HttpResponse response) {
         int status = response.getCode();
         List<HeaderField> headers = HeaderFields.read(response);
-        return response.loadBody().map(body -> new HttpAnswer(status, headers, body.getArray()));
+        return response.loadBody().map(body -> new BufferedHttpResponse(status, headers, body.getArray()));
     }
 
     @Override
--- a/src/main/java/org/martenwell/objects/HttpPlatform.java
+++ b/src/main/java/org/martenwell/objects/HttpPlatform.java
@@ -12,7 +12,7 @@
 import org.martenwell.error.Outcome;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.HttpAnswer;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
 import org.martenwell.json.JsonDocuments;
@@ -123,7 +123,7 @@
      * @param timeoutMillis How long the call may take, in milliseconds.
      * @return The answer.
      */
-    private Promise<HttpAnswer> call(
+    private Promise<BufferedHttpResponse> call(
             HttpMethod method,
             String path,
             List<HeaderField> headers,
@@ -152,7 +152,7 @@
      * @param answer The answer.
      * @return The answer.
      */
-    private static HttpAnswer checkStatus(HttpAnswer answer) {
+    private static BufferedHttpResponse checkStatus(BufferedHttpResponse answer) {
         int status = answer.status();
         if (status == 409 || status == 412) {
             throw MartenwellException.of(ErrorKind.VERSION_CONFLICT, "The object changed.");
@@ -178,7 +178,7 @@
      * @param value The value.
      * @return The object.
      */
-    private static StoredObject object(String kind, String name, HttpAnswer answer, byte[] value) {
+    private static StoredObject object(String kind, String name, BufferedHttpResponse answer, byte[] value) {
         String tag =
                 HeaderFields.find(answer.headers(), "ETag")
                         .orElseThrow(
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -16,7 +16,7 @@
 import org.martenwell.http.ConnectFailures;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.HttpAnswer;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
 
@@ -179,7 +179,7 @@
      * @param body The request body.
      * @return The complete response.
      */
-    private Promise<HttpAnswer> call(HttpMethod method, Target target, String path, byte[] body) {
+    private Promise<BufferedHttpResponse> call(HttpMethod method, Target target, String path, byte[] body) {
         return pooled.exchange(method, url(target, path), List.of(), body, CALL_TIMEOUT_MILLIS)
                 .mapException(
                         exception ->
