--- a/src/main/java/org/martenwell/command/OperatorClient.java
+++ b/src/main/java/org/martenwell/command/OperatorClient.java
@@ -10,7 +10,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.BufferedHttpResponse;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 import org.martenwell.service.EventLoopThread;
 
@@ -78,7 +78,7 @@
             BufferedHttpResponse answer =
                     loop.call(
                             () ->
-                                    HttpCalls.pooled(loop.loop(), MAX_BODY_BYTES)
+                                    AsyncHttpClient.pooled(loop.loop(), MAX_BODY_BYTES)
                                             .exchange(
                                                     method,
                                                     "http://" + address + path,
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -25,7 +25,7 @@
 import org.martenwell.caller.ServiceEndpoint;
 import org.martenwell.configuration.ActiveConfiguration;
 import org.martenwell.configuration.Target;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.member.CoordinatorAssignment;
 import org.martenwell.member.CoordinatorCandidate;
 import org.martenwell.member.Heartbeat;
@@ -99,10 +99,10 @@
     private final long incarnation;
 
     /** Sends requests over connections that are used again. */
-    private final HttpCalls pooled;
+    private final AsyncHttpClient pooled;
 
     /** Sends requests over connections of their own. */
-    private final HttpCalls single;
+    private final AsyncHttpClient single;
 
     /** The platform. */
     private final Platform platform;
@@ -176,8 +176,8 @@
         RouterLimits limits = settings.effectiveLimits();
         incarnation = reactor.currentTimeMillis();
         Random random = new Random(seed);
-        pooled = HttpCalls.pooled(reactor, limits.maxBodyBytes());
-        single = HttpCalls.single(reactor, limits.maxBodyBytes());
+        pooled = AsyncHttpClient.pooled(reactor, limits.maxBodyBytes());
+        single = AsyncHttpClient.single(reactor, limits.maxBodyBytes());
         platform = new HttpPlatform(pooled, settings.platformAddress());
         network =
                 new PeerNetwork(reactor, settings.peerAddress(), settings.peerKey(), random, this);
--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -10,7 +10,7 @@
 import org.martenwell.daemon.RouterDaemon;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 import org.martenwell.objects.Box;
 import org.martenwell.objects.BoxRole;
@@ -286,7 +286,7 @@
         String text = Json.print(site.configuration(targetSettings));
         platformLoop.call(
                 () -> {
-                    HttpCalls calls = HttpCalls.pooled(platformLoop.loop(), 1 << 20);
+                    AsyncHttpClient calls = AsyncHttpClient.pooled(platformLoop.loop(), 1 << 20);
                     return new HttpPlatform(calls, platformAddress)
                             .create(
                                     ConfigurationStore.KIND,
--- a/src/main/java/org/martenwell/http/HttpCalls.java
+++ b/src/main/java/org/martenwell/http/AsyncHttpClient.java
@@ -17,7 +17,7 @@
  * An HTTP client on an event loop. It never retries a request by itself, and it takes IP addresses
  * only, so that no DNS lookups occur.
  */
-public final class HttpCalls implements ManagedService {
+public final class AsyncHttpClient implements ManagedService {
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
@@ -27,7 +27,7 @@
     private final HttpClient client;
 
     /** Creates calls in a loop. */
-    private HttpCalls(HttpClient client) {
+    private AsyncHttpClient(HttpClient client) {
         this.client = client;
     }
 
@@ -38,8 +38,8 @@
      * @param maxBodyBytes The maximum size of a response body that is read completely, in bytes.
      * @return The client, to be started before use.
      */
-    public static HttpCalls pooled(NioReactor reactor, int maxBodyBytes) {
-        return new HttpCalls(
+    public static AsyncHttpClient pooled(NioReactor reactor, int maxBodyBytes) {
+        return new AsyncHttpClient(
                 builder(reactor, maxBodyBytes).withKeepAliveTimeout(KEEP_ALIVE).build());
     }
 
@@ -51,8 +51,8 @@
      * @param maxBodyBytes The maximum size of a response body that is read completely, in bytes.
      * @return The client, to be started before use.
      */
-    public static HttpCalls single(NioReactor reactor, int maxBodyBytes) {
-        return new HttpCalls(builder(reactor, maxBodyBytes).withNoKeepAlive().build());
+    public static AsyncHttpClient single(NioReactor reactor, int maxBodyBytes) {
+        return new AsyncHttpClient(builder(reactor, maxBodyBytes).withNoKeepAlive().build());
     }
 
     private static HttpClient.Builder builder(NioReactor reactor, int maxBodyBytes) {
@@ -79,7 +79,7 @@
             byte[] body,
             long timeoutMillis) {
         Promise<BufferedHttpResponse> response =
-                send(request(method, url, headers, body)).then(HttpCalls::readWhole);
+                send(request(method, url, headers, body)).then(AsyncHttpClient::readWhole);
         return Promises.timeout(Duration.ofMillis(timeoutMillis), response);
     }
 
--- a/src/main/java/org/martenwell/objects/HttpPlatform.java
+++ b/src/main/java/org/martenwell/objects/HttpPlatform.java
@@ -13,7 +13,7 @@
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
 import org.martenwell.http.BufferedHttpResponse;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 import org.martenwell.json.JsonDocuments;
 
@@ -30,7 +30,7 @@
     private static final byte[] NO_BODY = {};
 
     /** Sends requests. */
-    private final HttpCalls calls;
+    private final AsyncHttpClient calls;
 
     /** The start of every URL. */
     private final String base;
@@ -44,7 +44,7 @@
      * @param calls Sends requests.
      * @param address The platform's address.
      */
-    public HttpPlatform(HttpCalls calls, String address) {
+    public HttpPlatform(AsyncHttpClient calls, String address) {
         this.calls = calls;
         this.base = "http://" + address;
     }
--- a/src/main/java/org/martenwell/standin/LoadClient.java
+++ b/src/main/java/org/martenwell/standin/LoadClient.java
@@ -11,7 +11,7 @@
 import java.util.function.IntConsumer;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.http.HeaderField;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 
 /** Sends requests to routers as a caller does and verifies the responses. */
@@ -21,7 +21,7 @@
 
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final HttpCalls calls;
+    private final AsyncHttpClient calls;
 
     /**
      * Creates a client.
@@ -29,7 +29,7 @@
      * @param reactor The event loop.
      */
     LoadClient(NioReactor reactor) {
-        this.calls = HttpCalls.pooled(reactor, MAX_BODY_BYTES);
+        this.calls = AsyncHttpClient.pooled(reactor, MAX_BODY_BYTES);
     }
 
     /**
@@ -53,7 +53,7 @@
         long sentAt = System.nanoTime();
         totals.sent();
         return calls.send(
-                        HttpCalls.request(
+                        AsyncHttpClient.request(
                                 HttpMethod.POST,
                                 "http://" + router + "/v1/chat/completions",
                                 headers(load),
@@ -79,7 +79,7 @@
             OrganisationLoad load, String router, String service, LoadTotals totals) {
         totals.sent();
         return calls.send(
-                        HttpCalls.request(
+                        AsyncHttpClient.request(
                                 HttpMethod.GET,
                                 "http://" + router + "/services/" + service + "/status?unit=7",
                                 headers(load),
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -17,7 +17,7 @@
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
 import org.martenwell.http.BufferedHttpResponse;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 
 /**
@@ -33,10 +33,10 @@
     private static final byte[] NO_BODY = {};
 
     /** Sends repeatable requests over pooled connections. */
-    private final HttpCalls pooled;
+    private final AsyncHttpClient pooled;
 
     /** Sends requests that must not be repeated, each over a new connection. */
-    private final HttpCalls unpooled;
+    private final AsyncHttpClient unpooled;
 
     /**
      * Creates a connector.
@@ -44,7 +44,7 @@
      * @param pooled Sends repeatable requests over pooled connections.
      * @param unpooled Sends requests that must not be repeated, each over a new connection.
      */
-    public HttpTargetConnector(HttpCalls pooled, HttpCalls unpooled) {
+    public HttpTargetConnector(AsyncHttpClient pooled, AsyncHttpClient unpooled) {
         this.pooled = pooled;
         this.unpooled = unpooled;
     }
@@ -55,19 +55,19 @@
         headers.add(new HeaderField(HeaderFields.REQUEST_ID, request.id()));
         headers.add(new HeaderField(HeaderFields.PRIORITY, Integer.toString(request.priority())));
         HttpRequest message =
-                HttpCalls.request(
+                AsyncHttpClient.request(
                         HttpMethod.valueOf(request.method()),
                         url(target, request.pathAndQuery()),
                         headers,
                         request.body());
-        HttpCalls calls = request.repeatable() ? pooled : unpooled;
+        AsyncHttpClient calls = request.repeatable() ? pooled : unpooled;
         return send(calls, message, request.timeoutMillis());
     }
 
     @Override
     public Promise<TargetResponse> resume(Target target, String requestId, String lastEvent) {
         HttpRequest message =
-                HttpCalls.request(
+                AsyncHttpClient.request(
                         HttpMethod.GET,
                         url(target, "/v1/streams/" + requestId),
                         List.of(new HeaderField(HeaderFields.LAST_EVENT_ID, lastEvent)),
@@ -106,7 +106,7 @@
      * @return The response with its unread body.
      */
     private static Promise<TargetResponse> send(
-            HttpCalls calls, HttpRequest message, long timeoutMillis) {
+            AsyncHttpClient calls, HttpRequest message, long timeoutMillis) {
         Promise<HttpResponse> response = calls.send(message);
         Promise<HttpResponse> bounded =
                 Promises.timeout(Duration.ofMillis(timeoutMillis), response);
--- a/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
+++ b/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
@@ -13,7 +13,7 @@
 import org.martenwell.configuration.Target;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
-import org.martenwell.http.HttpCalls;
+import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.standin.StandinTarget;
@@ -40,8 +40,8 @@
                         () ->
                                 Promise.of(
                                         new HttpTargetConnector(
-                                                HttpCalls.pooled(loop.loop(), 1 << 20),
-                                                HttpCalls.single(loop.loop(), 1 << 20))));
+                                                AsyncHttpClient.pooled(loop.loop(), 1 << 20),
+                                                AsyncHttpClient.single(loop.loop(), 1 << 20))));
     }
 
     @AfterEach
