--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -70,7 +70,7 @@
 import org.martenwell.schedule.SlotGrants;
 import org.martenwell.schedule.SlotReport;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.Listening;
+import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
 import org.martenwell.settings.RouterLimits;
 import org.martenwell.settings.RouterSettings;
@@ -209,8 +209,8 @@
     @Override
     public Promise<Void> start() {
         return network.start()
-                .then(() -> Listening.start(operatorServer))
-                .then(() -> Listening.start(callerServer))
+                .then(() -> ServerStarter.start(operatorServer))
+                .then(() -> ServerStarter.start(callerServer))
                 .then(follower::start)
                 .whenResult(this::startTicking);
     }
--- a/src/main/java/org/martenwell/exchange/CallerServer.java
+++ b/src/main/java/org/martenwell/exchange/CallerServer.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.HashSet;
 import java.util.Set;
-import org.martenwell.service.Listening;
+import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
 
 /**
@@ -54,7 +54,7 @@
     @Override
     public Promise<Void> start() {
         reactor.delayBackground(TIMEOUT_CHECK_MILLIS, this::checkTimeouts);
-        return Listening.start(server);
+        return ServerStarter.start(server);
     }
 
     @Override
--- a/src/main/java/org/martenwell/peer/PeerServer.java
+++ b/src/main/java/org/martenwell/peer/PeerServer.java
@@ -18,7 +18,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.observe.LogEvent;
-import org.martenwell.service.Listening;
+import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
 
 /**
@@ -86,7 +86,7 @@
     @Override
     public Promise<Void> start() {
         pulseLater();
-        return Listening.start(server);
+        return ServerStarter.start(server);
     }
 
     @Override
--- a/src/main/java/org/martenwell/service/Listening.java
+++ b/src/main/java/org/martenwell/service/ServerStarter.java
@@ -7,10 +7,10 @@
 import org.martenwell.error.MartenwellException;
 
 /** Starts servers and reports addresses that cannot be bound. */
-public final class Listening {
+public final class ServerStarter {
 
     /** Not instantiated. */
-    private Listening() {}
+    private ServerStarter() {}
 
     /**
      * Binds the listen addresses of a server.
--- a/src/main/java/org/martenwell/standin/StandinPlatform.java
+++ b/src/main/java/org/martenwell/standin/StandinPlatform.java
@@ -23,7 +23,7 @@
 import org.martenwell.objects.ObjectItem;
 import org.martenwell.objects.StoredObject;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.Listening;
+import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
 
 /**
@@ -64,7 +64,7 @@
 
     @Override
     public Promise<Void> start() {
-        return Listening.start(server);
+        return ServerStarter.start(server);
     }
 
     @Override
--- a/src/main/java/org/martenwell/standin/StandinTarget.java
+++ b/src/main/java/org/martenwell/standin/StandinTarget.java
@@ -24,7 +24,7 @@
 import org.martenwell.http.HeaderFields;
 import org.martenwell.json.Json;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.Listening;
+import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
 import org.martenwell.target.LoadReport;
 import org.martenwell.target.TargetOrder;
@@ -88,7 +88,7 @@
 
     @Override
     public Promise<Void> start() {
-        return Listening.start(server).whenResult(this::startSteps);
+        return ServerStarter.start(server).whenResult(this::startSteps);
     }
 
     /** Starts the engine steps of a model replica. */
