--- a/src/main/java/org/martenwell/http/AsyncHttpClient.java
+++ b/src/main/java/org/martenwell/http/AsyncHttpClient.java
@@ -58,7 +58,7 @@
     private static HttpClient.Builder builder(NioReactor reactor, int maxBodyBytes) {
         return HttpClient.builder(reactor)
                 .withConnectTimeout(CONNECT_TIMEOUT)
-                .withInspector(new ConnectFailures())
+                .withInspector(new ConnectFailureInspector())
                 .withMaxBodySize(maxBodyBytes);
     }
 
--- a/src/main/java/org/martenwell/http/ConnectFailures.java
+++ b/src/main/java/org/martenwell/http/ConnectFailureInspector.java
@@ -8,10 +8,10 @@
  * An HTTP client inspector that marks requests whose connection could not be opened. No byte of
  * these was sent, so a retry is safe.
  */
-public final class ConnectFailures extends HttpClient.JmxInspector {
+public final class ConnectFailureInspector extends HttpClient.JmxInspector {
 
     /** Creates an inspector. */
-    public ConnectFailures() {}
+    public ConnectFailureInspector() {}
 
     /**
      * Checks whether the connection of a request could not be opened, so that none of it was sent.
@@ -20,13 +20,13 @@
      * @return {@code true} if certainly no byte was sent.
      */
     public static boolean marked(HttpRequest request) {
-        return request.getAttachmentKeys().contains(ConnectFailures.class);
+        return request.getAttachmentKeys().contains(ConnectFailureInspector.class);
     }
 
     @Override
     public void onConnectError(
             HttpRequest request, InetSocketAddress address, Exception exception) {
         super.onConnectError(request, address, exception);
-        request.attach(ConnectFailures.class, this);
+        request.attach(ConnectFailureInspector.class, this);
     }
 }
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -13,7 +13,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
-import org.martenwell.http.ConnectFailures;
+import org.martenwell.http.ConnectFailureInspector;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
 import org.martenwell.http.BufferedHttpResponse;
@@ -136,7 +136,7 @@
      *     established.
      */
     private static MartenwellException toException(HttpRequest message, Exception exception) {
-        if (ConnectFailures.marked(message)) {
+        if (ConnectFailureInspector.marked(message)) {
             return MartenwellException.of(
                             ErrorKind.TARGET_FAILED, "Connecting to the target failed.", exception)
                     .withOutcome(Outcome.NOT_RUN);
