--- a/src/main/java/org/martenwell/error/Repeat.java
+++ b/src/main/java/org/martenwell/error/Retryability.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** The conditions under which a caller may retry a request after an error. */
-public enum Repeat {
+public enum Retryability {
 
     /** A retry of the same request would fail again. */
     NEVER,
--- a/src/main/java/org/martenwell/gateway/LocalResponder.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Locale;
 import org.martenwell.error.ErrorKind;
-import org.martenwell.error.Repeat;
+import org.martenwell.error.Retryability;
 import org.martenwell.exchange.CallerExchange;
 
 /** Sends responses that the gateway generates itself, without a target. */
@@ -41,7 +41,7 @@
      */
     void respond(ErrorKind kind, double retrySeconds) {
         HttpHeaders headers = core.dialect().localResponse(metadata);
-        if (retrySeconds > 0 && kind.repeat() != Repeat.NEVER) {
+        if (retrySeconds > 0 && kind.repeat() != Retryability.NEVER) {
             double jitter = Math.min(retrySeconds, MAX_JITTER_SECONDS) * core.random();
             headers.set(
                     HttpHeaderNames.RETRY_AFTER,
