--- a/src/main/java/org/martenwell/configuration/FleetConfigurationReader.java
+++ b/src/main/java/org/martenwell/configuration/FleetConfigurationReader.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.martenwell.json.InvalidDocuments;
+import org.martenwell.json.DocumentProblems;
 import org.martenwell.json.JsonDocuments;
 import org.martenwell.json.Problem;
 import org.martenwell.json.SchemaChecker;
@@ -27,11 +27,11 @@
     public FleetConfiguration read(String file, String text) {
         JsonNode root = JsonDocuments.parse(file, text);
         List<Problem> problems = new ArrayList<>(SCHEMA.check(file, root));
-        InvalidDocuments.throwIfAny(problems);
+        DocumentProblems.throwIfAny(problems);
         FleetConfiguration configuration = JsonDocuments.map(root, FleetConfiguration.class);
         problems.addAll(ReferenceChecker.of(file, configuration).problems());
         problems.addAll(PolicyChecker.INSTANCE.check(file, configuration));
-        InvalidDocuments.throwIfAny(problems);
+        DocumentProblems.throwIfAny(problems);
         return configuration;
     }
 }
--- a/src/main/java/org/martenwell/json/InvalidDocuments.java
+++ b/src/main/java/org/martenwell/json/DocumentProblems.java
@@ -6,10 +6,10 @@
 import org.martenwell.error.MartenwellException;
 
 /** Throws exceptions for documents with problems. */
-public final class InvalidDocuments {
+public final class DocumentProblems {
 
     /** Not instantiated. */
-    private InvalidDocuments() {}
+    private DocumentProblems() {}
 
     /**
      * Throws {@link ErrorKind#INVALID_DOCUMENT} with all problems, one per line, unless the list is
--- a/src/main/java/org/martenwell/settings/SettingsReader.java
+++ b/src/main/java/org/martenwell/settings/SettingsReader.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.json.InvalidDocuments;
+import org.martenwell.json.DocumentProblems;
 import org.martenwell.json.JsonDocuments;
 import org.martenwell.json.Problem;
 import org.martenwell.json.SchemaChecker;
@@ -113,7 +113,7 @@
         JsonNode root = JsonDocuments.parse(file, text);
         List<Problem> problems = new ArrayList<>(SchemaChecker.of(schema).check(file, root));
         checkAddresses(file, root, problems);
-        InvalidDocuments.throwIfAny(problems);
+        DocumentProblems.throwIfAny(problems);
         return JsonDocuments.map(root, type);
     }
 
