--- a/src/main/java/org/martenwell/standin/CompletionForms.java
+++ b/src/main/java/org/martenwell/standin/CompletionSerializer.java
@@ -7,7 +7,7 @@
 import org.martenwell.json.Json;
 
 /** Serializes the responses of an engine stand-in in the format of the OpenAI API. */
-final class CompletionForms {
+final class CompletionSerializer {
 
     /** The number of prompt bytes counted as one token. */
     private static final int BYTES_PER_TOKEN = 4;
@@ -31,7 +31,7 @@
      * @param model The name of the model.
      * @param created The creation time, in seconds since the epoch.
      */
-    CompletionForms(boolean chat, String id, String model, long created) {
+    CompletionSerializer(boolean chat, String id, String model, long created) {
         this.chat = chat;
         this.id = id;
         this.model = model;
--- a/src/main/java/org/martenwell/standin/EventSource.java
+++ b/src/main/java/org/martenwell/standin/EventSource.java
@@ -12,7 +12,7 @@
 
     private final Generation generation;
 
-    private final CompletionForms forms;
+    private final CompletionSerializer forms;
 
     private int next;
 
@@ -28,7 +28,7 @@
      * @param forms Serializes the events.
      * @param from The index of the first token to send.
      */
-    EventSource(Generation generation, CompletionForms forms, int from) {
+    EventSource(Generation generation, CompletionSerializer forms, int from) {
         this.generation = generation;
         this.forms = forms;
         this.next = from;
--- a/src/main/java/org/martenwell/standin/StandinTarget.java
+++ b/src/main/java/org/martenwell/standin/StandinTarget.java
@@ -49,7 +49,7 @@
     private final PrefixCache cache = new PrefixCache();
 
     /** The serializers of responses by request id, needed to resume streams. */
-    private final Map<String, CompletionForms> forms = new LinkedHashMap<>();
+    private final Map<String, CompletionSerializer> forms = new LinkedHashMap<>();
 
     /** The requests to a plain service, by request id. */
     private final Map<String, RunRecord> serviceRuns = new LinkedHashMap<>();
@@ -212,8 +212,8 @@
                             cache.use(hashPrefix(root));
                             int limit = root.path("max_tokens").asInt(0);
                             Generation generation = engine.submit(id, priority, limit);
-                            CompletionForms form =
-                                    new CompletionForms(
+                            CompletionSerializer form =
+                                    new CompletionSerializer(
                                             chat,
                                             "cmpl-" + id,
                                             root.path("model").asText(),
@@ -259,7 +259,7 @@
 
     /** Responds with the complete text once the generation is finished. */
     private Promise<HttpResponse> completeResponse(
-            Generation generation, CompletionForms forms, int promptBytes) {
+            Generation generation, CompletionSerializer forms, int promptBytes) {
         if (generation.isFinished()) {
             return Promise.of(
                     HttpResponse.ok200()
@@ -273,7 +273,7 @@
     }
 
     /** Responds with a stream of events from a given token on. */
-    private HttpResponse events(Generation generation, CompletionForms forms, int from) {
+    private HttpResponse events(Generation generation, CompletionSerializer forms, int from) {
         EventSource source = new EventSource(generation, forms, from);
         ChannelSupplier<ByteBuf> body =
                 ChannelSuppliers.ofAsyncSupplier(() -> source.next(this::shouldDrop, reactor));
