--- a/src/main/java/org/martenwell/command/ApplyCommand.java
+++ b/src/main/java/org/martenwell/command/ApplyCommand.java
@@ -10,8 +10,8 @@
 import org.martenwell.configuration.FleetConfigurationReader;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.http.HeaderField;
 import org.martenwell.http.BufferedHttpResponse;
+import org.martenwell.http.HeaderField;
 import org.martenwell.operator.OperatorServlet;
 import org.martenwell.settings.SettingsReader;
 
--- a/src/main/java/org/martenwell/command/OperatorClient.java
+++ b/src/main/java/org/martenwell/command/OperatorClient.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.http.HeaderField;
-import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.AsyncHttpClient;
+import org.martenwell.http.BufferedHttpResponse;
+import org.martenwell.http.HeaderField;
 import org.martenwell.json.Json;
 import org.martenwell.service.EventLoopThread;
 
--- a/src/main/java/org/martenwell/command/ShowCommand.java
+++ b/src/main/java/org/martenwell/command/ShowCommand.java
@@ -6,8 +6,8 @@
 import org.apache.commons.cli.Options;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.http.HeaderFields;
 import org.martenwell.http.BufferedHttpResponse;
+import org.martenwell.http.HeaderFields;
 import org.martenwell.operator.OperatorServlet;
 
 /** Shows the configuration in force at a router. */
--- a/src/main/java/org/martenwell/exchange/CallerServer.java
+++ b/src/main/java/org/martenwell/exchange/CallerServer.java
@@ -7,8 +7,8 @@
 import java.net.InetSocketAddress;
 import java.util.HashSet;
 import java.util.Set;
-import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
+import org.martenwell.service.ServerStarter;
 
 /**
  * The HTTP server for callers. It accepts connections, enforces their limits and passes complete
--- a/src/main/java/org/martenwell/http/AsyncHttpClient.java
+++ b/src/main/java/org/martenwell/http/AsyncHttpClient.java
@@ -123,7 +123,8 @@
     public static Promise<BufferedHttpResponse> readWhole(HttpResponse response) {
         int status = response.getCode();
         List<HeaderField> headers = HeaderFields.read(response);
-        return response.loadBody().map(body -> new BufferedHttpResponse(status, headers, body.getArray()));
+        return response.loadBody()
+                .map(body -> new BufferedHttpResponse(status, headers, body.getArray()));
     }
 
     @Override
--- a/src/main/java/org/martenwell/objects/HttpPlatform.java
+++ b/src/main/java/org/martenwell/objects/HttpPlatform.java
@@ -10,10 +10,10 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
+import org.martenwell.http.AsyncHttpClient;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.BufferedHttpResponse;
-import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 import org.martenwell.json.JsonDocuments;
 
@@ -178,7 +178,8 @@
      * @param value The value.
      * @return The object.
      */
-    private static StoredObject object(String kind, String name, BufferedHttpResponse answer, byte[] value) {
+    private static StoredObject object(
+            String kind, String name, BufferedHttpResponse answer, byte[] value) {
         String tag =
                 HeaderFields.find(answer.headers(), "ETag")
                         .orElseThrow(
--- a/src/main/java/org/martenwell/peer/PeerServer.java
+++ b/src/main/java/org/martenwell/peer/PeerServer.java
@@ -18,8 +18,8 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.observe.LogEvent;
-import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
+import org.martenwell.service.ServerStarter;
 
 /**
  * Takes connections from peers. A frame that can't be accepted costs its sender the connection. As
--- a/src/main/java/org/martenwell/service/EventLoops.java
+++ b/src/main/java/org/martenwell/service/EventLoops.java
@@ -22,7 +22,10 @@
      * @return The event loop.
      */
     public static Eventloop named(String name) {
-        return Eventloop.builder().withThreadName(name).withFatalErrorHandler(EventLoops::log).build();
+        return Eventloop.builder()
+                .withThreadName(name)
+                .withFatalErrorHandler(EventLoops::log)
+                .build();
     }
 
     /**
@@ -31,7 +34,10 @@
      * @return The event loop.
      */
     public static Eventloop current() {
-        return Eventloop.builder().withCurrentThread().withFatalErrorHandler(EventLoops::log).build();
+        return Eventloop.builder()
+                .withCurrentThread()
+                .withFatalErrorHandler(EventLoops::log)
+                .build();
     }
 
     /**
--- a/src/main/java/org/martenwell/standin/LoadClient.java
+++ b/src/main/java/org/martenwell/standin/LoadClient.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.function.IntConsumer;
 import org.martenwell.error.MartenwellException;
-import org.martenwell.http.HeaderField;
 import org.martenwell.http.AsyncHttpClient;
+import org.martenwell.http.HeaderField;
 import org.martenwell.json.Json;
 
 /** Sends requests to routers as a caller does and verifies the responses. */
--- a/src/main/java/org/martenwell/standin/StandinPlatform.java
+++ b/src/main/java/org/martenwell/standin/StandinPlatform.java
@@ -23,8 +23,8 @@
 import org.martenwell.objects.ObjectItem;
 import org.martenwell.objects.StoredObject;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
+import org.martenwell.service.ServerStarter;
 
 /**
  * A stand-in for the platform: versioned objects with conditional updates and watches, and a box
--- a/src/main/java/org/martenwell/standin/StandinTarget.java
+++ b/src/main/java/org/martenwell/standin/StandinTarget.java
@@ -24,8 +24,8 @@
 import org.martenwell.http.HeaderFields;
 import org.martenwell.json.Json;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.ServerStarter;
 import org.martenwell.service.ManagedService;
+import org.martenwell.service.ServerStarter;
 import org.martenwell.target.LoadReport;
 import org.martenwell.target.TargetOrder;
 
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -13,11 +13,11 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
+import org.martenwell.http.AsyncHttpClient;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.ConnectFailureInspector;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.BufferedHttpResponse;
-import org.martenwell.http.AsyncHttpClient;
 import org.martenwell.json.Json;
 
 /**
@@ -179,7 +179,8 @@
      * @param body The request body.
      * @return The complete response.
      */
-    private Promise<BufferedHttpResponse> call(HttpMethod method, Target target, String path, byte[] body) {
+    private Promise<BufferedHttpResponse> call(
+            HttpMethod method, Target target, String path, byte[] body) {
         return pooled.exchange(method, url(target, path), List.of(), body, CALL_TIMEOUT_MILLIS)
                 .mapException(
                         exception ->
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.martenwell.service.IpAddress;
 import org.martenwell.service.EventLoopThread;
+import org.martenwell.service.IpAddress;
 import org.martenwell.service.LoopbackPorts;
 
 class CallerServerTest {
--- a/src/test/java/org/martenwell/exchange/IdleConnectionMemoryTest.java
+++ b/src/test/java/org/martenwell/exchange/IdleConnectionMemoryTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.martenwell.service.IpAddress;
 import org.martenwell.service.EventLoopThread;
+import org.martenwell.service.IpAddress;
 import org.martenwell.service.LoopbackPorts;
 
 /**
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -19,8 +19,8 @@
 import org.martenwell.directory.GatewayMember;
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.HeldRequest;
-import org.martenwell.service.IpAddress;
 import org.martenwell.service.EventLoopThread;
+import org.martenwell.service.IpAddress;
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.settings.GatewaySettings;
 
--- a/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -16,8 +16,8 @@
 import org.martenwell.exchange.CallerServer;
 import org.martenwell.quarantine.Fingerprint;
 import org.martenwell.quarantine.RequestSummary;
-import org.martenwell.service.IpAddress;
 import org.martenwell.service.EventLoopThread;
+import org.martenwell.service.IpAddress;
 import org.martenwell.service.LoopbackPorts;
 
 /** Tests the detection of crashes by probes and by changes of the directory. */
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.service.Conditions;
-import org.martenwell.service.IpAddress;
 import org.martenwell.service.EventLoopThread;
+import org.martenwell.service.IpAddress;
 import org.martenwell.service.LoopbackPorts;
 
 /** Tests that peers notice connections that went silent without a reset. */
