--- a/src/main/java/org/martenwell/error/ErrorKind.java
+++ b/src/main/java/org/martenwell/error/ErrorKind.java
@@ -120,7 +120,7 @@
 
     private final Outcome outcome;
 
-    private final Retryability repeat;
+    private final Retryability retryability;
 
     private final int exitCode;
 
@@ -129,13 +129,13 @@
      *
      * @param status The HTTP status of the error response.
      * @param outcome The outcome that the error response states for the request.
-     * @param repeat The conditions under which the caller may retry the request.
+     * @param retryability The conditions under which the caller may retry the request.
      * @param exitCode The exit code of a command that fails with this kind.
      */
-    ErrorKind(int status, Outcome outcome, Retryability repeat, int exitCode) {
+    ErrorKind(int status, Outcome outcome, Retryability retryability, int exitCode) {
         this.status = status;
         this.outcome = outcome;
-        this.repeat = repeat;
+        this.retryability = retryability;
         this.exitCode = exitCode;
     }
 
@@ -155,8 +155,8 @@
     }
 
     /** {@return the conditions under which the caller may retry the request} */
-    public Retryability repeat() {
-        return repeat;
+    public Retryability retryability() {
+        return retryability;
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/LocalResponder.java
+++ b/src/main/java/org/martenwell/gateway/LocalResponder.java
@@ -41,7 +41,7 @@
      */
     void respond(ErrorKind kind, double retrySeconds) {
         HttpHeaders headers = core.dialect().localResponse(metadata);
-        if (retrySeconds > 0 && kind.repeat() != Retryability.NEVER) {
+        if (retrySeconds > 0 && kind.retryability() != Retryability.NEVER) {
             double jitter = Math.min(retrySeconds, MAX_JITTER_SECONDS) * core.random();
             headers.set(
                     HttpHeaderNames.RETRY_AFTER,
--- a/src/main/java/org/martenwell/router/ErrorBody.java
+++ b/src/main/java/org/martenwell/router/ErrorBody.java
@@ -29,7 +29,7 @@
                                 Optional.empty(),
                                 failure.kind().code(),
                                 failure.outcome().word(),
-                                failure.kind().repeat().word(),
+                                failure.kind().retryability().word(),
                                 requestId)));
     }
 }
