--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -238,9 +238,9 @@
             produced += model ? use.produced() : 0;
             possible += model ? use.possible() : 0;
         }
-        long calls = platformLoop.call(() -> Promise.of(platform.counts())).total();
+        long platformCalls = platformLoop.call(() -> Promise.of(platform.counts())).total();
         return new FleetSample(
-                System.currentTimeMillis(), bytes, bytesByKind, produced, possible, calls);
+                System.currentTimeMillis(), bytes, bytesByKind, produced, possible, platformCalls);
     }
 
     private void start() {
@@ -286,8 +286,8 @@
         String text = Json.print(site.configuration(targetSettings));
         platformLoop.call(
                 () -> {
-                    AsyncHttpClient calls = AsyncHttpClient.pooled(platformLoop.loop(), 1 << 20);
-                    return new HttpPlatform(calls, platformAddress)
+                    AsyncHttpClient client = AsyncHttpClient.pooled(platformLoop.loop(), 1 << 20);
+                    return new HttpPlatform(client, platformAddress)
                             .create(
                                     ConfigurationStore.KIND,
                                     ConfigurationStore.NAME,
--- a/src/main/java/org/martenwell/standin/EventSource.java
+++ b/src/main/java/org/martenwell/standin/EventSource.java
@@ -12,7 +12,7 @@
 
     private final Generation generation;
 
-    private final CompletionSerializer forms;
+    private final CompletionSerializer serializer;
 
     private int next;
 
@@ -25,12 +25,12 @@
      * Creates a source of events.
      *
      * @param generation The generation.
-     * @param forms Serializes the events.
+     * @param serializer Serializes the events.
      * @param from The index of the first token to send.
      */
-    EventSource(Generation generation, CompletionSerializer forms, int from) {
+    EventSource(Generation generation, CompletionSerializer serializer, int from) {
         this.generation = generation;
-        this.forms = forms;
+        this.serializer = serializer;
         this.next = from;
     }
 
@@ -62,14 +62,14 @@
     private ByteBuf available() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (next < generation.tokens().size()) {
-            bytes.writeBytes(forms.event(next, generation.tokens().get(next)));
+            bytes.writeBytes(serializer.event(next, generation.tokens().get(next)));
             next++;
             sent++;
         }
         if (generation.isFinished()) {
             ended = true;
             if (generation.state() == GenerationState.ENDED) {
-                bytes.writeBytes(forms.end(next));
+                bytes.writeBytes(serializer.end(next));
             }
         }
         return ByteBuf.wrapForReading(bytes.toByteArray());
--- a/src/main/java/org/martenwell/standin/LoadClient.java
+++ b/src/main/java/org/martenwell/standin/LoadClient.java
@@ -21,7 +21,7 @@
 
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final AsyncHttpClient calls;
+    private final AsyncHttpClient client;
 
     /**
      * Creates a client.
@@ -29,7 +29,7 @@
      * @param reactor The event loop.
      */
     LoadClient(NioReactor reactor) {
-        this.calls = AsyncHttpClient.pooled(reactor, MAX_BODY_BYTES);
+        this.client = AsyncHttpClient.pooled(reactor, MAX_BODY_BYTES);
     }
 
     /**
@@ -52,7 +52,7 @@
                 new ChatRequest(load.model(), true, List.of(new CompletionMessage("user", prompt)));
         long sentAt = System.nanoTime();
         totals.sent();
-        return calls.send(
+        return client.send(
                         AsyncHttpClient.request(
                                 HttpMethod.POST,
                                 "http://" + router + "/v1/chat/completions",
@@ -78,7 +78,7 @@
     Promise<Void> sendServiceRequest(
             OrganisationLoad load, String router, String service, LoadTotals totals) {
         totals.sent();
-        return calls.send(
+        return client.send(
                         AsyncHttpClient.request(
                                 HttpMethod.GET,
                                 "http://" + router + "/services/" + service + "/status?unit=7",
--- a/src/main/java/org/martenwell/standin/StandinTarget.java
+++ b/src/main/java/org/martenwell/standin/StandinTarget.java
@@ -49,13 +49,13 @@
     private final PrefixCache cache = new PrefixCache();
 
     /** The serializers of responses by request id, needed to resume streams. */
-    private final Map<String, CompletionSerializer> forms = new LinkedHashMap<>();
+    private final Map<String, CompletionSerializer> serializers = new LinkedHashMap<>();
 
     /** The requests to a plain service, by request id. */
     private final Map<String, RunRecord> serviceRuns = new LinkedHashMap<>();
 
     /** The number of running requests to a plain service. */
-    private int serving;
+    private int runningServiceRequests;
 
     /** The accumulated slot time of a plain service, in milliseconds. */
     private long servedMillis;
@@ -141,7 +141,7 @@
         boolean model = settings.kind() == PoolKind.MODEL;
         return new LoadReport(
                 settings.slots(),
-                model ? engine.running() : serving,
+                model ? engine.running() : runningServiceRequests,
                 model ? engine.waiting() : 0,
                 faults.leaving(),
                 settings.serves());
@@ -212,19 +212,19 @@
                             cache.use(hashPrefix(root));
                             int limit = root.path("max_tokens").asInt(0);
                             Generation generation = engine.submit(id, priority, limit);
-                            CompletionSerializer form =
+                            CompletionSerializer serializer =
                                     new CompletionSerializer(
                                             chat,
                                             "cmpl-" + id,
                                             root.path("model").asText(),
                                             reactor.currentTimeMillis() / 1000);
-                            forms.put(id, form);
+                            serializers.put(id, serializer);
                             if (faults.silent()) {
                                 return new SettablePromise<>();
                             }
                             return root.path("stream").asBoolean(false)
-                                    ? Promise.of(events(generation, form, 0))
-                                    : completeResponse(generation, form, bytes.length);
+                                    ? Promise.of(eventStream(generation, serializer, 0))
+                                    : completeResponse(generation, serializer, bytes.length);
                         });
     }
 
@@ -254,27 +254,28 @@
                 HeaderFields.find(request, HeaderFields.LAST_EVENT_ID)
                         .map(Integer::parseInt)
                         .orElse(-1);
-        return Promise.of(events(generation.get(), forms.get(id), after + 1));
+        return Promise.of(eventStream(generation.get(), serializers.get(id), after + 1));
     }
 
     /** Responds with the complete text once the generation is finished. */
     private Promise<HttpResponse> completeResponse(
-            Generation generation, CompletionSerializer forms, int promptBytes) {
+            Generation generation, CompletionSerializer serializer, int promptBytes) {
         if (generation.isFinished()) {
             return Promise.of(
                     HttpResponse.ok200()
                             .withHeader(HttpHeaders.CONTENT_TYPE, "application/json")
-                            .withBody(forms.response(generation, promptBytes))
+                            .withBody(serializer.response(generation, promptBytes))
                             .build());
         }
         return generation
                 .awaitMore(generation.tokens().size(), reactor.currentTimeMillis())
-                .then(() -> completeResponse(generation, forms, promptBytes));
+                .then(() -> completeResponse(generation, serializer, promptBytes));
     }
 
     /** Responds with a stream of events from a given token on. */
-    private HttpResponse events(Generation generation, CompletionSerializer forms, int from) {
-        EventSource source = new EventSource(generation, forms, from);
+    private HttpResponse eventStream(
+            Generation generation, CompletionSerializer serializer, int from) {
+        EventSource source = new EventSource(generation, serializer, from);
         ChannelSupplier<ByteBuf> body =
                 ChannelSuppliers.ofAsyncSupplier(() -> source.next(this::shouldDrop, reactor));
         return HttpResponse.ok200()
@@ -303,7 +304,7 @@
         return request.loadBody()
                 .then(
                         body -> {
-                            serving++;
+                            runningServiceRequests++;
                             String text = line + " " + body.readRemaining() + " bytes";
                             int runs =
                                     1
@@ -318,7 +319,7 @@
     }
 
     private Promise<HttpResponse> serviceResponse(String text) {
-        serving--;
+        runningServiceRequests--;
         servedMillis += settings.serviceMillis();
         if (faults.silent()) {
             return new SettablePromise<>();
