--- a/src/main/java/org/martenwell/http/HeaderFields.java
+++ b/src/main/java/org/martenwell/http/HeaderFields.java
@@ -55,7 +55,6 @@
     private static final Set<String> NOT_FORWARDED =
             Set.of("authorization", "x-api-key", "cookie", "accept-encoding", "x-priority");
 
-    /** Not instantiated. */
     private HeaderFields() {}
 
     /**
--- a/src/main/java/org/martenwell/json/DocumentProblems.java
+++ b/src/main/java/org/martenwell/json/DocumentProblems.java
@@ -8,7 +8,6 @@
 /** Throws exceptions for documents with problems. */
 public final class DocumentProblems {
 
-    /** Not instantiated. */
     private DocumentProblems() {}
 
     /**
--- a/src/main/java/org/martenwell/json/Json.java
+++ b/src/main/java/org/martenwell/json/Json.java
@@ -17,7 +17,6 @@
  */
 public final class Json {
 
-    /** Not instantiated. */
     private Json() {}
 
     /** Initializes the object mapper on first use; reading and writing trees does not need it. */
@@ -35,7 +34,6 @@
                                         JsonInclude.Include.NON_ABSENT))
                         .build();
 
-        /** Not instantiated. */
         private Mapper() {}
     }
 
--- a/src/main/java/org/martenwell/json/JsonDocuments.java
+++ b/src/main/java/org/martenwell/json/JsonDocuments.java
@@ -29,7 +29,6 @@
                     .enable(StreamReadFeature.INCLUDE_SOURCE_IN_LOCATION)
                     .build();
 
-    /** Not instantiated. */
     private JsonDocuments() {}
 
     /** Initializes the object mapper on first use; {@link #parser} does not need it. */
@@ -45,7 +44,6 @@
                                         JsonInclude.Include.NON_ABSENT))
                         .build();
 
-        /** Not instantiated. */
         private Mapper() {}
     }
 
--- a/src/main/java/org/martenwell/json/JsonTrees.java
+++ b/src/main/java/org/martenwell/json/JsonTrees.java
@@ -54,7 +54,6 @@
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    /** Not instantiated. */
     private JsonTrees() {}
 
     /**
--- a/src/main/java/org/martenwell/service/EventLoops.java
+++ b/src/main/java/org/martenwell/service/EventLoops.java
@@ -12,7 +12,6 @@
 
     private static final Logger LOGGER = LogManager.getLogger(EventLoops.class);
 
-    /** Not instantiated. */
     private EventLoops() {}
 
     /**
--- a/src/main/java/org/martenwell/service/IpAddress.java
+++ b/src/main/java/org/martenwell/service/IpAddress.java
@@ -8,7 +8,6 @@
 /** Parses socket addresses of an IP address and a port, without DNS lookups. */
 public final class IpAddress {
 
-    /** Not instantiated. */
     private IpAddress() {}
 
     /**
--- a/src/main/java/org/martenwell/service/LoopbackPorts.java
+++ b/src/main/java/org/martenwell/service/LoopbackPorts.java
@@ -11,7 +11,6 @@
 /** Allocates free loopback ports for demonstrations and tests. */
 public final class LoopbackPorts {
 
-    /** Not instantiated. */
     private LoopbackPorts() {}
 
     /**
--- a/src/main/java/org/martenwell/service/ServerStarter.java
+++ b/src/main/java/org/martenwell/service/ServerStarter.java
@@ -9,7 +9,6 @@
 /** Starts servers and reports addresses that cannot be bound. */
 public final class ServerStarter {
 
-    /** Not instantiated. */
     private ServerStarter() {}
 
     /**
--- a/src/test/java/org/martenwell/measure/FingerprintMeasure.java
+++ b/src/test/java/org/martenwell/measure/FingerprintMeasure.java
@@ -17,7 +17,6 @@
 
     private static final double NANOS_PER_MICRO = 1_000;
 
-    /** Not instantiated. */
     private FingerprintMeasure() {}
 
     /**
