--- a/src/main/java/org/martenwell/http/ConnectFailures.java
+++ b/src/main/java/org/martenwell/http/ConnectFailureInspector.java
@@ -4,26 +4,29 @@
 import io.activej.http.HttpRequest;
 import java.net.InetSocketAddress;
 
-/** Marks requests whose connection could not be opened, so that no byte of them was written. */
-public final class ConnectFailures extends HttpClient.JmxInspector {
+/**
+ * An HTTP client inspector that marks requests whose connection could not be opened. No byte of
+ * these was sent, so a retry is safe.
+ */
+public final class ConnectFailureInspector extends HttpClient.JmxInspector {
 
     /** Creates an inspector. */
-    public ConnectFailures() {}
+    public ConnectFailureInspector() {}
 
     /**
-     * Returns whether no byte of a request was written because its connection could not be opened.
+     * Checks whether the connection of a request could not be opened, so that none of it was sent.
      *
      * @param request The request.
-     * @return {@code true} if that is certain.
+     * @return {@code true} if certainly no byte was sent.
      */
     public static boolean marked(HttpRequest request) {
-        return request.getAttachmentKeys().contains(ConnectFailures.class);
+        return request.getAttachmentKeys().contains(ConnectFailureInspector.class);
     }
 
     @Override
     public void onConnectError(
             HttpRequest request, InetSocketAddress address, Exception exception) {
         super.onConnectError(request, address, exception);
-        request.attach(ConnectFailures.class, this);
+        request.attach(ConnectFailureInspector.class, this);
     }
 }
--- a/src/main/java/org/martenwell/objects/HttpPlatform.java
+++ b/src/main/java/org/martenwell/objects/HttpPlatform.java
@@ -10,10 +10,10 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
+import org.martenwell.http.AsyncHttpClient;
+import org.martenwell.http.BufferedHttpResponse;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.HttpAnswer;
-import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
 import org.martenwell.json.JsonDocuments;
 
@@ -28,7 +28,7 @@
 
     private static final byte[] NO_BODY = {};
 
-    private final HttpCalls httpClient;
+    private final AsyncHttpClient httpClient;
 
     private final String baseUrl;
 
@@ -40,7 +40,7 @@
      * @param httpClient The HTTP client.
      * @param address The platform's address, as host and port.
      */
-    public HttpPlatform(HttpCalls httpClient, String address) {
+    public HttpPlatform(AsyncHttpClient httpClient, String address) {
         this.httpClient = httpClient;
         this.baseUrl = "http://" + address;
     }
@@ -94,7 +94,7 @@
                 .map(response -> object(kind, name, response, value));
     }
 
-    private Promise<HttpAnswer> call(
+    private Promise<BufferedHttpResponse> call(
             HttpMethod method,
             String path,
             List<HeaderField> headers,
@@ -113,7 +113,7 @@
     }
 
     /** Throws an exception for an error status other than 404. */
-    private static HttpAnswer checkStatus(HttpAnswer response) {
+    private static BufferedHttpResponse checkStatus(BufferedHttpResponse response) {
         int status = response.status();
         if (status == 409 || status == 412) {
             throw MartenwellException.of(
@@ -135,7 +135,7 @@
 
     /** Builds an object whose version is the response's entity tag. */
     private static StoredObject object(
-            String kind, String name, HttpAnswer response, byte[] value) {
+            String kind, String name, BufferedHttpResponse response, byte[] value) {
         String tag =
                 HeaderFields.find(response.headers(), "ETag")
                         .orElseThrow(
--- a/src/main/java/org/martenwell/peer/PeerServer.java
+++ b/src/main/java/org/martenwell/peer/PeerServer.java
@@ -18,8 +18,8 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.observe.LogEvent;
-import org.martenwell.service.Listening;
 import org.martenwell.service.ManagedService;
+import org.martenwell.service.ServerStarter;
 
 /**
  * Accepts connections from peers and receives messages over them. A connection with an invalid
@@ -80,7 +80,7 @@
     @Override
     public Promise<Void> start() {
         scheduleKeepAlives();
-        return Listening.start(server);
+        return ServerStarter.start(server);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/martenwell/service/EventLoops.java
@@ -0,0 +1,65 @@
+package org.martenwell.service;
+
+import io.activej.eventloop.Eventloop;
+import java.util.concurrent.TimeUnit;
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+import org.martenwell.error.MartenwellException;
+import org.martenwell.observe.LogEvent;
+
+/** Creates event loops that log uncaught exceptions. */
+public final class EventLoops {
+
+    private static final Logger LOGGER = LogManager.getLogger(EventLoops.class);
+
+    private EventLoops() {}
+
+    /**
+     * Creates an event loop for a thread that is started later.
+     *
+     * @param name The name of the thread.
+     * @return The event loop.
+     */
+    public static Eventloop named(String name) {
+        return Eventloop.builder()
+                .withThreadName(name)
+                .withFatalErrorHandler(EventLoops::log)
+                .build();
+    }
+
+    /**
+     * Creates an event loop for the current thread.
+     *
+     * @return The event loop.
+     */
+    public static Eventloop current() {
+        return Eventloop.builder()
+                .withCurrentThread()
+                .withFatalErrorHandler(EventLoops::log)
+                .build();
+    }
+
+    /**
+     * Creates an event loop for the current thread whose clock is monotonic, so that changes of the
+     * system time do not affect it.
+     *
+     * @return The event loop.
+     */
+    public static Eventloop monotonic() {
+        return Eventloop.builder()
+                .withTimeProvider(() -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()))
+                .withCurrentThread()
+                .withFatalErrorHandler(EventLoops::log)
+                .build();
+    }
+
+    /**
+     * Logs uncaught exceptions, except for {@link MartenwellException}, which the receiver of the
+     * promise handles.
+     */
+    private static void log(Throwable thrown, Object context) {
+        if (!(thrown instanceof MartenwellException)) {
+            LOGGER.error(LogEvent.of("defect").with("in", context).message(), thrown);
+        }
+    }
+}
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -13,11 +13,11 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 import org.martenwell.error.Outcome;
-import org.martenwell.http.ConnectFailures;
+import org.martenwell.http.AsyncHttpClient;
+import org.martenwell.http.BufferedHttpResponse;
+import org.martenwell.http.ConnectFailureInspector;
 import org.martenwell.http.HeaderField;
 import org.martenwell.http.HeaderFields;
-import org.martenwell.http.HttpAnswer;
-import org.martenwell.http.HttpCalls;
 import org.martenwell.json.Json;
 
 /**
@@ -33,10 +33,10 @@
     private static final byte[] NO_BODY = {};
 
     /** Sends repeatable requests over pooled connections. */
-    private final HttpCalls pooled;
+    private final AsyncHttpClient pooled;
 
     /** Sends requests that must not be repeated, each over a new connection. */
-    private final HttpCalls unpooled;
+    private final AsyncHttpClient unpooled;
 
     /**
      * Creates a connector.
@@ -44,7 +44,7 @@
      * @param pooled Sends repeatable requests over pooled connections.
      * @param unpooled Sends requests that must not be repeated, each over a new connection.
      */
-    public HttpTargetConnector(HttpCalls pooled, HttpCalls unpooled) {
+    public HttpTargetConnector(AsyncHttpClient pooled, AsyncHttpClient unpooled) {
         this.pooled = pooled;
         this.unpooled = unpooled;
     }
@@ -55,19 +55,19 @@
         headers.add(new HeaderField(HeaderFields.REQUEST_ID, request.id()));
         headers.add(new HeaderField(HeaderFields.PRIORITY, Integer.toString(request.priority())));
         HttpRequest message =
-                HttpCalls.request(
+                AsyncHttpClient.request(
                         HttpMethod.valueOf(request.method()),
                         url(target, request.pathAndQuery()),
                         headers,
                         request.body());
-        HttpCalls calls = request.repeatable() ? pooled : unpooled;
+        AsyncHttpClient calls = request.repeatable() ? pooled : unpooled;
         return send(calls, message, request.timeoutMillis());
     }
 
     @Override
     public Promise<TargetResponse> resume(Target target, String requestId, String lastEvent) {
         HttpRequest message =
-                HttpCalls.request(
+                AsyncHttpClient.request(
                         HttpMethod.GET,
                         url(target, "/v1/streams/" + requestId),
                         List.of(new HeaderField(HeaderFields.LAST_EVENT_ID, lastEvent)),
@@ -106,7 +106,7 @@
      * @return The response with its unread body.
      */
     private static Promise<TargetResponse> send(
-            HttpCalls calls, HttpRequest message, long timeoutMillis) {
+            AsyncHttpClient calls, HttpRequest message, long timeoutMillis) {
         Promise<HttpResponse> response = calls.send(message);
         Promise<HttpResponse> bounded =
                 Promises.timeout(Duration.ofMillis(timeoutMillis), response);
@@ -136,7 +136,7 @@
      *     established.
      */
     private static MartenwellException toException(HttpRequest message, Exception exception) {
-        if (ConnectFailures.marked(message)) {
+        if (ConnectFailureInspector.marked(message)) {
             return MartenwellException.of(
                             ErrorKind.TARGET_FAILED, "Connecting to the target failed.", exception)
                     .withOutcome(Outcome.NOT_RUN);
@@ -179,7 +179,8 @@
      * @param body The request body.
      * @return The complete response.
      */
-    private Promise<HttpAnswer> call(HttpMethod method, Target target, String path, byte[] body) {
+    private Promise<BufferedHttpResponse> call(
+            HttpMethod method, Target target, String path, byte[] body) {
         return pooled.exchange(method, url(target, path), List.of(), body, CALL_TIMEOUT_MILLIS)
                 .mapException(
                         exception ->
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.martenwell.message.PeerMessage;
 import org.martenwell.service.Conditions;
+import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.IpAddress;
-import org.martenwell.service.LoopThread;
 import org.martenwell.service.LoopbackPorts;
 
 /** Tests that connections that no longer deliver data are detected and replaced. */
@@ -21,7 +21,7 @@
     /** The read timeout of the test's socket, in milliseconds. */
     private static final int READ_MILLIS = 30_000;
 
-    private final LoopThread thread = LoopThread.start("test-peers");
+    private final EventLoopThread thread = EventLoopThread.start("test-peers");
 
     private final String address = LoopbackPorts.free(1).get(0);
 
