--- a/src/main/java/org/martenwell/directory/EntryReader.java
+++ b/src/main/java/org/martenwell/directory/EntryReader.java
@@ -12,7 +12,7 @@
     /** {@return the kind of configuration objects} */
     String configurationKind();
 
-    /** {@return the name of the configuration object in force} */
+    /** {@return the name of the active configuration object} */
     String configurationName();
 
     /** {@return the kind of target objects} */
--- a/src/main/java/org/martenwell/directory/FleetDirectory.java
+++ b/src/main/java/org/martenwell/directory/FleetDirectory.java
@@ -11,7 +11,7 @@
 public interface FleetDirectory extends ManagedService {
 
     /**
-     * Applies a configuration that a peer forwarded, if it is newer than the one in force.
+     * Applies a configuration that a peer forwarded, if it is newer than the active one.
      *
      * @param document The configuration as JSON.
      */
--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -44,7 +44,7 @@
     private boolean stopped;
 
     /**
-     * Creates a store access that is not started.
+     * Creates an instance that is not started.
      *
      * @param reactor The event loop.
      * @param store The store.
--- a/src/main/java/org/martenwell/directory/KindPoller.java
+++ b/src/main/java/org/martenwell/directory/KindPoller.java
@@ -8,8 +8,8 @@
 /**
  * Keeps a copy of all objects of one kind by listing them periodically. Suits objects that every
  * gateway both writes and reads: when a fleet starts, watches would cost one call per pair of
- * gateways, while the cost of polling per gateway is constant. Call {@link #refresh} to learn
- * sooner of an object known from elsewhere.
+ * gateways, while the cost of polling per gateway is constant. Call {@link #refresh} to read an
+ * object that a peer has reported before the next poll.
  */
 final class KindPoller implements ManagedService {
 
@@ -25,8 +25,8 @@
     private static final long INITIAL_RETRY_MILLIS = 400;
 
     /**
-     * The mean delay before a retry after the first list has succeeded, in milliseconds. Membership
-     * changes in the meantime are also learned from reports of peers.
+     * The mean delay before a retry after the first list has succeeded, in milliseconds. In the
+     * meantime, reports of peers also announce new members.
      */
     private static final long RETRY_MILLIS = 1_500;
 
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -21,7 +21,7 @@
 import org.martenwell.route.GatewayConfiguration;
 
 /**
- * Fleet directory backed by an {@link ObjectStore}. The version of the configuration in force never
+ * Fleet directory backed by an {@link ObjectStore}. The version of the active configuration never
  * decreases, even if the store or a peer provides an older one.
  */
 public final class StoreDirectory implements FleetDirectory {
@@ -60,7 +60,7 @@
 
     private final HeldRequestStore heldRequests;
 
-    /** The version of the configuration in force. */
+    /** The version of the active configuration. */
     private long version;
 
     /** The gateway entries of the last list, by name. */
@@ -257,7 +257,7 @@
     }
 
     /**
-     * Applies a configuration if it is newer than the one in force. A malformed one is logged and
+     * Applies a configuration if it is newer than the active one. A malformed one is logged and
      * ignored.
      *
      * @param document The configuration as JSON.
--- a/src/main/java/org/martenwell/exchange/CallerExchange.java
+++ b/src/main/java/org/martenwell/exchange/CallerExchange.java
@@ -47,7 +47,8 @@
     }
 
     /**
-     * {@return {@code true} once the response is complete, the exchange aborted or the caller gone}
+     * {@return {@code true} once the response is complete, the exchange aborted or the caller
+     * disconnected}
      */
     public boolean finished() {
         return finished;
--- a/src/main/java/org/martenwell/exchange/CallerServer.java
+++ b/src/main/java/org/martenwell/exchange/CallerServer.java
@@ -12,11 +12,13 @@
 
 /**
  * The HTTP server for callers. It accepts connections, enforces their limits and passes complete
- * requests to a handler.@@ long MIN_IDLE_MILLIS = The minimum idle time, in milliseconds, after
- * which {@link #closeIdle} closes a connection.
+ * requests to a handler.
  */
 public final class CallerServer implements ManagedService {
 
+    /**
+     * The minimum idle time after which {@link #closeIdle} closes a connection, in milliseconds.
+     */
     private static final long MIN_IDLE_MILLIS = 300;
 
     /** The interval between timeout checks of all connections, in milliseconds. */
@@ -94,7 +96,7 @@
         return connections.size();
     }
 
-    /** {@return the limits in force} */
+    /** {@return the current limits} */
     ConnectionLimits limits() {
         return limits;
     }
--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -95,7 +95,7 @@
         return call;
     }
 
-    /** Closes idle connections and keeps none open from now on. */
+    /** Closes idle connections; those in use close when their calls complete. */
     public void close() {
         connections.close();
     }
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -173,12 +173,12 @@
                             } else if (bytes == null) {
                                 disconnected(true);
                             } else {
-                                received(bytes);
+                                processBytes(bytes);
                             }
                         });
     }
 
-    private void received(ByteBuf bytes) {
+    private void processBytes(ByteBuf bytes) {
         if (listener == null || closed) {
             bytes.recycle();
             close();
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -31,7 +31,7 @@
     /** The idle connections, the last used one first. */
     private final Deque<TargetConnection> idle = new ArrayDeque<>();
 
-    /** Set once connections are no longer kept. */
+    /** Set once returned connections are closed instead of pooled. */
     private boolean closed;
 
     /**
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Checks that the target accepts connections, by opening one. It is kept for the next request.
+     * Checks that the target accepts connections, by opening one, which the next request uses.
      *
      * @param listener Receives the outcome.
      */
--- a/src/main/java/org/martenwell/peer/ConfigurationResponse.java
+++ b/src/main/java/org/martenwell/peer/ConfigurationResponse.java
@@ -3,7 +3,7 @@
 import org.martenwell.message.PeerMessage;
 
 /**
- * Response to a {@link ConfigurationRequest} with the configuration in force.
+ * Response to a {@link ConfigurationRequest} with the active configuration.
  *
  * @param version The configuration's version.
  * @param text The configuration as stored, in JSON.
--- a/src/main/java/org/martenwell/peer/MessageType.java
+++ b/src/main/java/org/martenwell/peer/MessageType.java
@@ -12,8 +12,8 @@
 import org.martenwell.schedule.SlotReport;
 
 /**
- * Type of a message between routers, with its encoding. The names of the constants appear in
- * metrics, and their numbers are part of the protocol.
+ * Type of a message between peers, with its encoding. The names of the constants appear in metrics,
+ * and their numbers are part of the protocol.
  */
 enum MessageType {
 
--- a/src/main/java/org/martenwell/peer/PeerNetwork.java
+++ b/src/main/java/org/martenwell/peer/PeerNetwork.java
@@ -10,9 +10,9 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Connections between one router and its peers. Each router opens one connection to every peer,
- * over which it only sends messages; it receives messages over the connections that peers open to
- * it.
+ * Connections of one router or gateway to its peers. Each process opens one connection to every
+ * peer, over which it only sends messages; it receives messages over the connections that peers
+ * open to it.
  */
 public final class PeerNetwork implements ManagedService {
 
--- a/src/main/java/org/martenwell/router/AcceptingTargets.java
+++ b/src/main/java/org/martenwell/router/AcceptingTargets.java
@@ -14,8 +14,8 @@
     /** Time for which no requests are sent to a target after it refused one. */
     private static final long REFUSAL_MILLIS = 2_000;
 
-    /** Targets that the platform lists as leaving. */
-    private final Set<String> leaving = new HashSet<>();
+    /** Targets that the platform lists as draining. */
+    private final Set<String> draining = new HashSet<>();
 
     /** Targets that accept no requests according to the last notice or poll. */
     private final Set<String> reportedUnavailable = new HashSet<>();
@@ -27,13 +27,13 @@
     AcceptingTargets() {}
 
     /**
-     * Replaces the targets listed as leaving.
+     * Replaces the targets listed as draining.
      *
      * @param names The names of the targets.
      */
-    void setLeaving(Set<String> names) {
-        leaving.clear();
-        leaving.addAll(names);
+    void setDraining(Set<String> names) {
+        draining.clear();
+        draining.addAll(names);
     }
 
     /**
@@ -65,11 +65,11 @@
      *
      * @param target The target's name.
      * @param now The current time in milliseconds.
-     * @return {@code true} if it is not listed as leaving, not reported as unavailable and has not
+     * @return {@code true} if it is not listed as draining, not reported as unavailable and has not
      *     refused a request recently.
      */
     boolean acceptsRequests(String target, long now) {
-        return !leaving.contains(target)
+        return !draining.contains(target)
                 && !reportedUnavailable.contains(target)
                 && now >= refusedUntil.getOrDefault(target, 0L);
     }
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -33,8 +33,8 @@
 public final class FleetScheduler {
 
     /**
-     * Maximum number of report and grant exchanges within this router before the event loop goes
-     * on.
+     * Maximum number of report and grant exchanges within this router before the event loop
+     * continues with other tasks.
      */
     private static final int MAX_LOCAL_ROUNDS = 16;
 
@@ -89,7 +89,7 @@
      */
     public void configure(ActiveConfiguration configuration) {
         terms = new ContractTerms(configuration);
-        coordinator.terms(terms);
+        coordinator.setTerms(terms);
     }
 
     /**
@@ -160,7 +160,7 @@
      * @param failed {@code true} if the target failed.
      */
     public void release(Slot slot, boolean failed) {
-        slots.finish(slot, failed);
+        slots.release(slot, failed);
         scheduleExchange();
     }
 
@@ -204,7 +204,7 @@
     }
 
     /**
-     * Drops the counters of peers that are no longer members.
+     * Clears the slots granted by peers that are no longer members.
      *
      * @param peers The names of the peers.
      */
@@ -232,7 +232,7 @@
     }
 
     /**
-     * Repeats unacknowledged grants and refreshes the reports to coordinators. Called periodically.
+     * Resends unacknowledged grants and refreshes the reports to coordinators. Called periodically.
      */
     public void maintain() {
         coordinator.maintain(reactor.currentTimeMillis());
--- a/src/main/java/org/martenwell/router/IdempotencyGuard.java
+++ b/src/main/java/org/martenwell/router/IdempotencyGuard.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Runs a request unless its key is already claimed; else responds according to the existing
-     * claim.
+     * Runs a request unless its key is already claimed; otherwise responds according to the
+     * existing claim.
      *
      * @param request The request. It must not be marked as repeatable.
      * @param key The idempotency key.
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Stores a complete response in the ledger. The response is passed on without waiting for the
+     * Stores a complete response in the ledger. The response is returned without waiting for the
      * write.
      */
     private Promise<RoutedResponse> recordResponse(
--- a/src/main/java/org/martenwell/router/PlatformFollower.java
+++ b/src/main/java/org/martenwell/router/PlatformFollower.java
@@ -104,7 +104,7 @@
         platform.read(ConfigurationStore.KIND, ConfigurationStore.NAME)
                 .whenResult(
                         object -> {
-                            recordContact();
+                            recordResponse();
                             object.ifPresent(this::offer);
                             schedule(0, this::watch);
                         })
@@ -123,7 +123,7 @@
         platform.watch(ConfigurationStore.KIND, store.version(), WATCH_TIMEOUT_MILLIS)
                 .whenResult(
                         objects -> {
-                            recordContact();
+                            recordResponse();
                             watchDelayMillis = INITIAL_DELAY_MILLIS;
                             objects.stream()
                                     .filter(each -> each.name().equals(ConfigurationStore.NAME))
@@ -141,7 +141,7 @@
         platform.boxes()
                 .whenResult(
                         list -> {
-                            recordContact();
+                            recordResponse();
                             boxesDelayMillis = INITIAL_DELAY_MILLIS;
                             boxListener.accept(list);
                             schedule(BOX_LIST_POLL_MILLIS, this::readBoxes);
@@ -153,7 +153,7 @@
                         });
     }
 
-    private void recordContact() {
+    private void recordResponse() {
         lastResponseAt = reactor.currentTimeMillis();
     }
 
--- a/src/main/java/org/martenwell/router/RequestDispatcher.java
+++ b/src/main/java/org/martenwell/router/RequestDispatcher.java
@@ -276,8 +276,8 @@
     }
 
     /**
-     * Returns the service that a complete response delivered: by time for services without tokens,
-     * else by the token usage reported in the body, or 0 if there is none.
+     * Returns the service that a complete response delivered: by elapsed time for services without
+     * tokens, otherwise by the token usage reported in the body, or 0 if there is none.
      */
     private double deliveredUnits(RoutedRequest request, byte[] body, long startedAt) {
         if (request.unitsPerToken() == 0) {
--- a/src/main/java/org/martenwell/router/RouterMetrics.java
+++ b/src/main/java/org/martenwell/router/RouterMetrics.java
@@ -26,7 +26,7 @@
 
     private final Counter openStreams = registry.counter("streams_open");
 
-    private final Counter callersLeft = registry.counter("callers_left");
+    private final Counter callersDisconnected = registry.counter("callers_left");
 
     private final Histogram waitMillis = registry.histogram("wait_millis");
 
@@ -88,7 +88,7 @@
 
     /** Counts a caller that disconnected before the end of its response. */
     void callerDisconnected() {
-        callersLeft.inc();
+        callersDisconnected.inc();
     }
 
     /**
--- a/src/main/java/org/martenwell/router/StreamListener.java
+++ b/src/main/java/org/martenwell/router/StreamListener.java
@@ -9,7 +9,7 @@
 interface StreamListener {
 
     /**
-     * Called when complete events are passed on.
+     * Called when complete events are relayed.
      *
      * @param count The number of events that carry data.
      */
--- a/src/main/java/org/martenwell/router/StreamRelay.java
+++ b/src/main/java/org/martenwell/router/StreamRelay.java
@@ -17,9 +17,9 @@
 import org.martenwell.target.TargetResponse;
 
 /**
- * Relays an engine's event stream to a caller. Only complete events are passed on, no faster than
- * the caller reads. An interrupted stream is resumed after the last complete event; if that fails,
- * it ends with an error event and without the end marker.
+ * Relays an engine's event stream to a caller. Only complete events are relayed, no faster than the
+ * caller reads. An interrupted stream is resumed after the last complete event; if that fails, it
+ * ends with an error event and without the end marker.
  */
 final class StreamRelay extends AbstractChannelSupplier<ByteBuf> {
 
@@ -44,13 +44,13 @@
 
     private ChannelSupplier<ByteBuf> source;
 
-    /** Id of the last complete event passed on. */
+    /** Id of the last complete event relayed. */
     private Optional<String> lastId = Optional.empty();
 
     /** Number of consecutive resumes since the last event that carried data. */
     private int resumes;
 
-    /** Set once the end marker or an error event was passed on. */
+    /** Set once the end marker or an error event was relayed. */
     private boolean terminated;
 
     /**
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -39,13 +39,13 @@
 
     private final AcceptingTargets acceptingTargets = new AcceptingTargets();
 
-    /** State that the scheduler last received, by target. */
+    /** Whether each target accepts requests, as last passed to the scheduler, by target. */
     private final Map<String, Boolean> applied = new HashMap<>();
 
     /** Number of consecutive failed polls, by coordinated target. */
     private final Map<String, Integer> missed = new HashMap<>();
 
-    /** State that peers last received, by coordinated target. */
+    /** Whether each target accepts requests, as last sent to peers, by coordinated target. */
     private final Map<String, Boolean> announced = new HashMap<>();
 
     /** Last load reports, by coordinated target. */
@@ -103,12 +103,12 @@
     }
 
     /**
-     * Applies the platform's box list.
+     * Replaces the targets that the platform lists as draining.
      *
-     * @param leaving The names of the targets listed as leaving.
+     * @param draining The names of the targets that the box list marks as leaving.
      */
-    public void listed(Set<String> leaving) {
-        acceptingTargets.setLeaving(new HashSet<>(leaving));
+    public void listed(Set<String> draining) {
+        acceptingTargets.setDraining(new HashSet<>(draining));
         apply();
     }
 
--- a/src/main/java/org/martenwell/schedule/CoordinatedTarget.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatedTarget.java
@@ -100,7 +100,7 @@
      *
      * @param router The router's name.
      */
-    void drop(String router) {
+    void removeAllocation(String router) {
         allocations.remove(router);
     }
 
--- a/src/main/java/org/martenwell/schedule/CoordinatorReports.java
+++ b/src/main/java/org/martenwell/schedule/CoordinatorReports.java
@@ -34,8 +34,8 @@
     private Map<Pool, List<Target>> targetsByPool = Map.of();
 
     /**
-     * Sequence number of the last report to any coordinator. One sequence for all keeps it
-     * increasing when a target changes its coordinator.
+     * Sequence number of the last report to any coordinator. All coordinators share one sequence,
+     * so that it keeps increasing when a target changes its coordinator.
      */
     private long sequence;
 
@@ -147,7 +147,7 @@
             if (reportState.completeReportDue(now, parameters.completeReportIntervalMillis())) {
                 reports.put(coordinator, buildCompleteReport(coordinator, reportState, now));
             } else {
-                changes(coordinator, reportState, now)
+                buildChangeReport(coordinator, reportState, now)
                         .ifPresent(report -> reports.put(coordinator, report));
             }
         }
@@ -172,9 +172,9 @@
         List<Demand> demands = new ArrayList<>();
         for (QueueKey key : queues.keys()) {
             if (coordinatesPool(coordinator, key.pool())) {
-                QueueState current = queues.demand(key, parameters.maxReportedWaiting());
+                QueueState current = queues.state(key, parameters.maxReportedWaiting());
                 reportState.recordReported(key, current);
-                demands.add(current.message(key, now));
+                demands.add(current.toDemand(key, now));
             }
         }
         List<Holding> holdings = new ArrayList<>();
@@ -185,7 +185,7 @@
                 slots.failureCount(targetSlots.target().name()).ifPresent(failures::add);
             }
         }
-        return report(coordinator, true, demands, holdings, failures);
+        return newReport(coordinator, true, demands, holdings, failures);
     }
 
     /**
@@ -196,16 +196,16 @@
      * @param now The current time in milliseconds.
      * @return The report, or empty if nothing changed.
      */
-    private Optional<SlotReport> changes(
+    private Optional<SlotReport> buildChangeReport(
             CoordinatorReference coordinator, ReportState reportState, long now) {
         List<Demand> demands = new ArrayList<>();
         for (QueueKey key : reportState.takeChangedQueues()) {
-            QueueState current = queues.demand(key, parameters.maxReportedWaiting());
+            QueueState current = queues.state(key, parameters.maxReportedWaiting());
             if (reportState
                     .reported(key)
                     .needsReport(current, parameters.headShiftToleranceMillis())) {
                 reportState.recordReported(key, current);
-                demands.add(current.message(key, now));
+                demands.add(current.toDemand(key, now));
             }
         }
         List<Holding> holdings = new ArrayList<>();
@@ -219,11 +219,11 @@
         if (demands.isEmpty() && holdings.isEmpty() && failures.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(report(coordinator, false, demands, holdings, failures));
+        return Optional.of(newReport(coordinator, false, demands, holdings, failures));
     }
 
     /**
-     * Builds a report with the next sequence number.
+     * Creates a report with the next sequence number.
      *
      * @param coordinator The coordinator.
      * @param complete {@code true} if queues and slots that are not listed are empty.
@@ -232,7 +232,7 @@
      * @param failures The failure counts.
      * @return The report.
      */
-    private SlotReport report(
+    private SlotReport newReport(
             CoordinatorReference coordinator,
             boolean complete,
             List<Demand> demands,
--- a/src/main/java/org/martenwell/schedule/DemandTable.java
+++ b/src/main/java/org/martenwell/schedule/DemandTable.java
@@ -42,7 +42,7 @@
      *
      * @param router The router's name.
      */
-    void drop(String router) {
+    void removeRouter(String router) {
         for (QueueKey key : List.copyOf(queues.keySet())) {
             if (queues.get(key).containsKey(router)) {
                 update(router, key, 0, 0);
--- a/src/main/java/org/martenwell/schedule/GrantTotals.java
+++ b/src/main/java/org/martenwell/schedule/GrantTotals.java
@@ -86,7 +86,7 @@
      *
      * @param now The current time in milliseconds.
      */
-    void sent(long now) {
+    void recordSent(long now) {
         sentAt = now;
     }
 
--- a/src/main/java/org/martenwell/schedule/HeldSlots.java
+++ b/src/main/java/org/martenwell/schedule/HeldSlots.java
@@ -99,11 +99,11 @@
      * @param slot The slot.
      * @param failed {@code true} if the target failed.
      */
-    void finish(Slot slot, boolean failed) {
+    void release(Slot slot, boolean failed) {
         String target = slot.target().name();
         running.merge(new SlotClassKey(target, slot.organisation()), -1, Integer::sum);
         runningByTarget.merge(target, -1, Integer::sum);
-        slot.targetSlots().finish(slot);
+        slot.targetSlots().release(slot);
         if (failed) {
             failureCounts.merge(target, 1L, Long::sum);
         }
--- a/src/main/java/org/martenwell/schedule/QueueState.java
+++ b/src/main/java/org/martenwell/schedule/QueueState.java
@@ -26,13 +26,13 @@
     }
 
     /**
-     * Builds the message that reports this state.
+     * Converts this state to its form in a {@link SlotReport}.
      *
      * @param key The queue.
      * @param now The current time in milliseconds.
-     * @return The message.
+     * @return The reported queue.
      */
-    Demand message(QueueKey key, long now) {
+    Demand toDemand(QueueKey key, long now) {
         long effectiveWaitMillis = waiting == 0 ? 0 : now - effectiveArrival;
         return new Demand(key.pool(), key.organisation(), waiting, effectiveWaitMillis);
     }
--- a/src/main/java/org/martenwell/schedule/QueueTable.java
+++ b/src/main/java/org/martenwell/schedule/QueueTable.java
@@ -43,7 +43,7 @@
         boolean removed = queue != null && queue.remove(request);
         if (removed) {
             waiting--;
-            dropIfEmpty(key, queue);
+            removeIfEmpty(key, queue);
         }
         return removed;
     }
@@ -59,7 +59,7 @@
         WaitingQueue queue = queues.get(key);
         WaitingRequest request = queue.poll(preferred).orElseThrow();
         waiting--;
-        dropIfEmpty(key, queue);
+        removeIfEmpty(key, queue);
         return request;
     }
 
@@ -106,7 +106,7 @@
      * @param limit The maximum number of waiting requests to report.
      * @return The state.
      */
-    QueueState demand(QueueKey key, int limit) {
+    QueueState state(QueueKey key, int limit) {
         WaitingQueue queue = queues.get(key);
         if (queue == null) {
             return QueueState.EMPTY;
@@ -120,7 +120,7 @@
         return waiting;
     }
 
-    private void dropIfEmpty(QueueKey key, WaitingQueue queue) {
+    private void removeIfEmpty(QueueKey key, WaitingQueue queue) {
         if (queue.size() == 0) {
             queues.remove(key);
         }
--- a/src/main/java/org/martenwell/schedule/ReportState.java
+++ b/src/main/java/org/martenwell/schedule/ReportState.java
@@ -135,9 +135,9 @@
      * Records the state of a queue that is being reported.
      *
      * @param key The queue.
-     * @param demand The state.
+     * @param state The state.
      */
-    void recordReported(QueueKey key, QueueState demand) {
-        reported.put(key, demand);
+    void recordReported(QueueKey key, QueueState state) {
+        reported.put(key, state);
     }
 }
--- a/src/main/java/org/martenwell/schedule/RouterSlots.java
+++ b/src/main/java/org/martenwell/schedule/RouterSlots.java
@@ -11,8 +11,8 @@
 import org.martenwell.configuration.Target;
 
 /**
- * The router's side of scheduling. Matches waiting requests with the slots that coordinators
- * granted or lent to this router, and collects the changes to report to them.
+ * The slots and the waiting requests of one router. Matches the requests with the slots that
+ * coordinators granted or lent to this router, and collects the changes to report to them.
  */
 public final class RouterSlots implements TargetLoads {
 
@@ -169,12 +169,12 @@
      * @param slot The slot.
      * @param failed {@code true} if the target failed.
      */
-    public void finish(Slot slot, boolean failed) {
-        if (!slot.finish()) {
+    public void release(Slot slot, boolean failed) {
+        if (!slot.markReleased()) {
             return;
         }
         String target = slot.target().name();
-        slots.finish(slot, failed);
+        slots.release(slot, failed);
         reports.slotChanged(target, slot.organisation());
         reports.slotChanged(target, slot.slotClass());
         if (failed) {
@@ -235,7 +235,7 @@
         if (unavailableTargets.contains(grant.target())) {
             totals.releaseIdle();
         } else if (grant.slotClass().equals(SlotClass.ANY)) {
-            targetSlots.recalled(grant.recalled());
+            targetSlots.setRecalled(grant.recalled());
             matchLent(targetSlots, totals, assignments);
         } else {
             matchGranted(targetSlots, grant.slotClass(), totals, assignments);
--- a/src/main/java/org/martenwell/schedule/Slot.java
+++ b/src/main/java/org/martenwell/schedule/Slot.java
@@ -2,7 +2,7 @@
 
 import org.martenwell.configuration.Target;
 
-/** Slot of a target in use by one request. It has to be finished exactly once. */
+/** Slot of a target in use by one request. It has to be released exactly once. */
 public final class Slot {
 
     private final TargetSlots targetSlots;
@@ -14,7 +14,7 @@
 
     private final String organisation;
 
-    private boolean finished;
+    private boolean released;
 
     /**
      * Creates a slot in use.
@@ -66,13 +66,13 @@
     }
 
     /**
-     * Marks the slot as finished.
+     * Marks the slot as released.
      *
      * @return {@code true} on the first call.
      */
-    boolean finish() {
-        boolean first = !finished;
-        finished = true;
+    boolean markReleased() {
+        boolean first = !released;
+        released = true;
         return first;
     }
 }
--- a/src/main/java/org/martenwell/schedule/SlotCoordinator.java
+++ b/src/main/java/org/martenwell/schedule/SlotCoordinator.java
@@ -69,7 +69,7 @@
      * @param name This router's name.
      * @param incarnation This router's incarnation.
      * @param parameters The scheduling parameters.
-     * @param counters The service counters, shared with the router's side of scheduling.
+     * @param counters The service counters, shared with the rest of this router.
      * @param listener Notified of each slot granted to an organisation.
      */
     public SlotCoordinator(
@@ -90,7 +90,7 @@
      *
      * @param changed The weights and concurrency limits of organisations.
      */
-    public void terms(OrganisationTerms changed) {
+    public void setTerms(OrganisationTerms changed) {
         terms = changed;
     }
 
@@ -170,7 +170,7 @@
         }
         lastSequences.put(router, report.sequence());
         if (report.complete()) {
-            demands.drop(report.router());
+            demands.removeRouter(report.router());
         }
         for (Demand demand : report.demands()) {
             updateBacklog(demand, now);
@@ -193,10 +193,10 @@
         }
         Map<String, SlotGrants> messages = new LinkedHashMap<>();
         for (String router : resyncRequired) {
-            messages.put(router, message(router, true));
+            messages.put(router, buildMessage(router, true));
         }
         for (String router : outgoing.keySet()) {
-            messages.computeIfAbsent(router, key -> message(key, false));
+            messages.computeIfAbsent(router, key -> buildMessage(key, false));
         }
         resyncRequired.clear();
         outgoing.clear();
@@ -210,7 +210,7 @@
      * @param completeReportRequested {@code true} to request a complete report.
      * @return The message.
      */
-    private SlotGrants message(String router, boolean completeReportRequested) {
+    private SlotGrants buildMessage(String router, boolean completeReportRequested) {
         List<SlotGrant> grants = List.copyOf(outgoing.getOrDefault(router, Map.of()).values());
         long routerIncarnation = latestIncarnations.getOrDefault(router, 0L);
         return new SlotGrants(
@@ -502,7 +502,7 @@
                 coordinated.allocation(router, latestIncarnations.getOrDefault(router, 0L));
         GrantTotals totals = allocation.totals(slotClass);
         allocation.grant(totals);
-        totals.sent(now);
+        totals.recordSent(now);
         addUnacknowledged(router, slotClass, 1);
         changeInUse(slotClass, 1);
         addToMessage(coordinated, router, slotClass, totals, false);
@@ -557,7 +557,7 @@
             boolean lost =
                     totals.unacknowledged() > 0 || (totals.recalled() && totals.outstanding() > 0);
             if (stale && lost) {
-                totals.sent(now);
+                totals.recordSent(now);
                 addToMessage(coordinated, router, entry.getKey(), totals, totals.recalled());
             }
         }
@@ -618,7 +618,7 @@
 
     /** Discards the state of a router that left or restarted. */
     private void removeRouter(String router) {
-        demands.drop(router);
+        demands.removeRouter(router);
         for (CoordinatedTarget coordinated : targets.values()) {
             removeAllocation(coordinated, router);
         }
@@ -637,6 +637,6 @@
             changeInUse(entry.getKey(), -allocation.taken(entry.getKey()));
             addUnacknowledged(router, entry.getKey(), -entry.getValue().unacknowledged());
         }
-        coordinated.drop(router);
+        coordinated.removeAllocation(router);
     }
 }
--- a/src/main/java/org/martenwell/schedule/TargetSlots.java
+++ b/src/main/java/org/martenwell/schedule/TargetSlots.java
@@ -70,7 +70,7 @@
      *
      * @param slot The slot.
      */
-    void finish(Slot slot) {
+    void release(Slot slot) {
         if (slot.term() == term) {
             addRunning(slot.organisation(), -1);
             totals(slot.slotClass()).release();
@@ -122,7 +122,7 @@
      *
      * @param recall {@code true} if lent slots are recalled.
      */
-    void recalled(boolean recall) {
+    void setRecalled(boolean recall) {
         recalled = recall;
     }
 }
--- a/src/main/java/org/martenwell/schedule/WaitingRequest.java
+++ b/src/main/java/org/martenwell/schedule/WaitingRequest.java
@@ -24,8 +24,8 @@
         long bytes) {
 
     /**
-     * The head start that one step of priority gives, in milliseconds. A request of lower priority
-     * overtakes later ones of higher priority once it has waited longer by this time, so that none
+     * The head start that each step of priority gives, in milliseconds. A request is still served
+     * before those of the next higher priority that arrive later by more than this, so no request
      * starves.
      */
     public static final long HEAD_START_MILLIS = 2_000;
--- a/src/test/java/org/martenwell/directory/DepartedTargetsTest.java
+++ b/src/test/java/org/martenwell/directory/RemovedTargetsTest.java
@@ -10,7 +10,7 @@
  * Tests that a gateway that was disconnected from the store doesn't use targets that were removed
  * meanwhile. Only an outage of the store itself justifies retaining missing entries.
  */
-final class DepartedTargetsTest {
+final class RemovedTargetsTest {
 
     /** The targets known before the gateway was disconnected. */
     private static final String[] KNOWN = targets(0, 11);
--- a/src/test/java/org/martenwell/directory/RetainedEntriesTest.java
+++ b/src/test/java/org/martenwell/directory/RetainedEntriesTest.java
@@ -52,29 +52,30 @@
 
     @Test
     void testEntriesAreRetainedPerGroup() {
-        RetainedEntries lapsed =
+        RetainedEntries retained =
                 RetainedEntries.of(
                         entries("engine-1", "engine-2", "engine-3", "plain-1", "plain-2"),
                         entries("engine-1", "engine-2", "plain-1"),
                         each -> each.name().substring(0, 5),
                         100);
-        assertThat(lapsed.names()).containsExactly("plain-2");
+        assertThat(retained.names()).containsExactly("plain-2");
     }
 
     @Test
     void testRetainedEntriesExpireTogether() {
-        RetainedEntries lapsed =
+        RetainedEntries retained =
                 RetainedEntries.of(
                         entries("one", "two", "three"), entries("one"), each -> "group", 100);
-        assertThat(lapsed.mergedInto(entries("one"), 99)).containsOnlyKeys("one", "two", "three");
-        assertThat(lapsed.mergedInto(entries("one"), 100)).containsOnlyKeys("one");
+        assertThat(retained.mergedInto(entries("one"), 99)).containsOnlyKeys("one", "two", "three");
+        assertThat(retained.mergedInto(entries("one"), 100)).containsOnlyKeys("one");
     }
 
     @Test
     void testStoredEntryTakesPrecedenceOverRetainedOne() {
-        RetainedEntries lapsed = RetainedEntries.of(entries("one"), Map.of(), each -> "group", 100);
+        RetainedEntries retained =
+                RetainedEntries.of(entries("one"), Map.of(), each -> "group", 100);
         StoredEntry present = new StoredEntry("one", 9, JsonNodeFactory.instance.objectNode());
-        assertThat(lapsed.mergedInto(Map.of("one", present), 1)).containsEntry("one", present);
+        assertThat(retained.mergedInto(Map.of("one", present), 1)).containsEntry("one", present);
     }
 
     private static Map<String, StoredEntry> entries(String... names) {
--- a/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
+++ b/src/test/java/org/martenwell/directory/TargetsWithoutStartTest.java
@@ -9,7 +9,7 @@
 
 final class TargetsWithoutStartTest {
 
-    private final DirectoryTarget withoutStart = target("undated", OptionalLong.empty());
+    private final DirectoryTarget withoutStart = target("without-start", OptionalLong.empty());
 
     private final DirectoryTarget one = target("one", OptionalLong.of(5));
 
--- a/src/test/java/org/martenwell/schedule/SimulatedFleet.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedFleet.java
@@ -112,7 +112,7 @@
 
     @Override
     public void finished(RequestStart start, long time) {
-        nodes.get(start.router()).slots.finish((Slot) start.handle(), false);
+        nodes.get(start.router()).slots.release((Slot) start.handle(), false);
     }
 
     @Override
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Router with its side of scheduling as a coordinator. */
+    /** Router with its own slots and the coordinator that runs on it. */
     final class Node {
 
         final int index;
--- a/src/test/java/org/martenwell/schedule/SimulatedNetwork.java
+++ b/src/test/java/org/martenwell/schedule/SimulatedNetwork.java
@@ -21,14 +21,14 @@
 
     static final SimulatedNetwork RELIABLE = new SimulatedNetwork(2, 0, 0, 0, 500, true);
 
-    SimulatedNetwork withImmediateGrantReports(boolean atOnce) {
+    SimulatedNetwork withImmediateGrantReports(boolean immediate) {
         return new SimulatedNetwork(
                 delayMillis,
                 jitterMillis,
                 lossRate,
                 duplicationRate,
                 counterIntervalMillis,
-                atOnce);
+                immediate);
     }
 
     SimulatedNetwork withCounterIntervalMillis(long millis) {
--- a/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
+++ b/src/test/java/org/martenwell/target/HttpTargetConnectorTest.java
@@ -19,7 +19,7 @@
 import org.martenwell.standin.StandinTarget;
 import org.martenwell.standin.TargetSettings;
 
-/** Tests the connector against a stand-in target. */
+/** Tests the connector against a simulated target. */
 class HttpTargetConnectorTest {
 
     private final List<String> ports = LoopbackPorts.free(2);
