--- a/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/MembershipMessageCodec.java
@@ -101,7 +101,7 @@
      */
     static void write(TargetNotice message, FieldWriter writer) throws IOException {
         writer.name(message.target());
-        writer.flag(message.open());
+        writer.flag(message.acceptsRequests());
     }
 
     /**
--- a/src/main/java/org/martenwell/peer/TargetNotice.java
+++ b/src/main/java/org/martenwell/peer/TargetNotice.java
@@ -6,6 +6,6 @@
  * Notice that a target started or stopped accepting new requests.
  *
  * @param target The target's name.
- * @param open {@code false} if the target is draining or doesn't respond.
+ * @param acceptsRequests {@code false} if the target is draining or doesn't respond.
  */
-public record TargetNotice(String target, boolean open) implements PeerMessage {}
+public record TargetNotice(String target, boolean acceptsRequests) implements PeerMessage {}
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -118,7 +118,7 @@
      * @param notice The notice.
      */
     public void received(TargetNotice notice) {
-        acceptingTargets.applyNotice(notice.target(), notice.open());
+        acceptingTargets.applyNotice(notice.target(), notice.acceptsRequests());
         apply();
     }
 
