--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public void begun(HttpResponse head) {
+        public void headReceived(HttpResponse head) {
             status = head.status().code();
         }
 
--- a/src/main/java/org/martenwell/exchange/ResponseListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -22,7 +22,7 @@
      *
      * @param head The response head.
      */
-    void begun(HttpResponse head);
+    void headReceived(HttpResponse head);
 
     /**
      * Called for each non-empty piece of the response body.
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -233,7 +233,7 @@
             return;
         }
         reusable = reusable && HttpUtil.isKeepAlive(responseHead) && selfDelimiting(responseHead);
-        listener.begun(responseHead);
+        listener.headReceived(responseHead);
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void begun(HttpResponse head) {
+    public void headReceived(HttpResponse head) {
         Matcher timeout = IDLE_TIMEOUT.matcher(head.headers().get(KEEP_ALIVE, ""));
         if (timeout.find()) {
             long statedMillis = Long.parseLong(timeout.group(1)) * MILLIS_PER_SECOND;
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -222,7 +222,7 @@
         }
 
         @Override
-        public void begun(HttpResponse head) {}
+        public void headReceived(HttpResponse head) {}
 
         @Override
         public void received(byte[] piece) {
