--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -132,7 +132,7 @@
         }
 
         @Override
-        public void received(byte[] piece) {
+        public void bodyPartReceived(byte[] piece) {
             body.writeBytes(piece);
         }
 
--- a/src/main/java/org/martenwell/exchange/ResponseListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -29,7 +29,7 @@
      *
      * @param piece The bytes, owned by the listener.
      */
-    void received(byte[] piece);
+    void bodyPartReceived(byte[] piece);
 
     /** Called once the complete response has arrived. */
     void ended();
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -255,7 +255,7 @@
         if (!discarding && length > 0) {
             byte[] piece = new byte[length];
             content.content().getBytes(content.content().readerIndex(), piece);
-            listener.received(piece);
+            listener.bodyPartReceived(piece);
         }
         if (content instanceof LastHttpContent) {
             boolean matching = !discarding;
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void received(byte[] piece) {
+    public void bodyPartReceived(byte[] piece) {
         heardMillis = dispatch.now();
         if (!over) {
             noteBodyBegun();
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -225,7 +225,7 @@
         public void headReceived(HttpResponse head) {}
 
         @Override
-        public void received(byte[] piece) {
+        public void bodyPartReceived(byte[] piece) {
             body.append(new String(piece, StandardCharsets.UTF_8));
         }
 
