--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -137,7 +137,7 @@
         }
 
         @Override
-        public void ended() {
+        public void completed() {
             timer.cancel();
             if (reuseConnection) {
                 connections.keep(connection, 0);
--- a/src/main/java/org/martenwell/exchange/ResponseListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Receives the response to one request, on the event loop. {@link #ended} or {@link #failed} is the
+ * Receives the response to one request, on the event loop. {@link #completed} or {@link #failed} is the
  * last call; neither is called once the connection is cancelled.
  */
 public interface ResponseListener {
@@ -32,7 +32,7 @@
     void bodyPartReceived(byte[] piece);
 
     /** Called once the complete response has arrived. */
-    void ended();
+    void completed();
 
     /**
      * Called when no complete response can arrive any more.
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -265,7 +265,7 @@
                 ResponseListener done = listener;
                 listener = null;
                 reusable = reusable && unwrittenBytes == 0;
-                done.ended();
+                done.completed();
             }
         }
     }
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void ended() {
+    public void completed() {
         boolean open = !over;
         over = true;
         target.load().ended(running);
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -46,8 +46,8 @@
     void testConnectionIsReused() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST, SECOND)) {
             TargetConnections connections = connections(target.address());
-            assertThat(send(connections, "1")).isEqualTo("ended ab");
-            assertThat(send(connections, "2")).isEqualTo("ended cd");
+            assertThat(send(connections, "1")).isEqualTo("completed ab");
+            assertThat(send(connections, "2")).isEqualTo("completed cd");
             assertThat(target.connections()).isEqualTo(1);
         }
     }
@@ -56,7 +56,7 @@
     void testResponseOfAnotherRequestIsDiscarded() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST + SECOND, SECOND)) {
             TargetConnections connections = connections(target.address());
-            assertThat(send(connections, "2")).isEqualTo("ended cd");
+            assertThat(send(connections, "2")).isEqualTo("completed cd");
         }
     }
 
@@ -64,8 +64,8 @@
     void testBytesAfterAResponseCloseTheConnection() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST + FIRST, SECOND)) {
             TargetConnections connections = connections(target.address());
-            assertThat(send(connections, "1")).isEqualTo("ended ab");
-            assertThat(send(connections, "2")).isEqualTo("ended cd");
+            assertThat(send(connections, "1")).isEqualTo("completed ab");
+            assertThat(send(connections, "2")).isEqualTo("completed cd");
             assertThat(target.connections()).isEqualTo(2);
         }
     }
@@ -74,7 +74,7 @@
     void testResponseWithoutLengthIsCompleteOnClose() throws Exception {
         String response = "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nab";
         try (RawTarget target = new RawTarget(RawTarget.Ending.CLOSE, response)) {
-            assertThat(send(connections(target.address()), "1")).isEqualTo("ended ab");
+            assertThat(send(connections(target.address()), "1")).isEqualTo("completed ab");
         }
     }
 
@@ -130,9 +130,9 @@
             TargetConnections connections = connections(target.address());
             cancelOnOpening(connections);
             await(() -> target.connections() == 1);
-            assertThat(send(connections, "1")).isEqualTo("ended ab");
+            assertThat(send(connections, "1")).isEqualTo("completed ab");
             cancelOnOpening(connections);
-            assertThat(send(connections, "1")).isEqualTo("ended ab");
+            assertThat(send(connections, "1")).isEqualTo("completed ab");
             assertThat(target.heads()).isEqualTo(2);
         }
     }
@@ -141,11 +141,11 @@
     @Test
     void testHeadsOfAllResponsesAreReported() throws Exception {
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, FIRST + SECOND, SECOND)) {
-            assertThat(send(connections(target.address()), "2")).isEqualTo("ended cd");
+            assertThat(send(connections(target.address()), "2")).isEqualTo("completed cd");
             assertThat(heads).containsExactly("1", "2");
         }
         try (RawTarget target = new RawTarget(RawTarget.Ending.KEEP, SECOND + FIRST)) {
-            assertThat(send(connections(target.address()), "2")).isEqualTo("ended cd");
+            assertThat(send(connections(target.address()), "2")).isEqualTo("completed cd");
             await(() -> heads.size() == 4);
             assertThat(heads).endsWith("2", "1");
         }
@@ -230,11 +230,11 @@
         }
 
         @Override
-        public void ended() {
+        public void completed() {
             connections.keep(used[0], 0);
             // Postponed so that stray bytes after the response in the same read are processed
             // first.
-            thread.loop().postLast(() -> results.add("ended " + body));
+            thread.loop().postLast(() -> results.add("completed " + body));
         }
 
         @Override
