--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -140,7 +140,7 @@
         public void completed() {
             timer.cancel();
             if (reuseConnection) {
-                connections.keep(connection, 0);
+                connections.release(connection, 0);
             } else {
                 connection.cancel();
             }
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -129,7 +129,7 @@
                                 listener.accept(ConnectResult.of(failure));
                                 return;
                             }
-                            keep(wrap(socket), 0);
+                            release(wrap(socket), 0);
                             listener.accept(ConnectResult.ACCEPTED);
                         });
     }
@@ -141,7 +141,7 @@
      * @param idleMillis The maximum idle time that the target announced, in milliseconds, or 0 for
      *     none.
      */
-    public void keep(TargetConnection connection, long idleMillis) {
+    public void release(TargetConnection connection, long idleMillis) {
         long effectiveIdleMillis = idleMillis > 0 ? idleMillis : DEFAULT_IDLE_MILLIS;
         connection.setUsableUntil(reactor.currentTimeMillis() + effectiveIdleMillis);
         if (closed || !connection.usable()) {
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -166,7 +166,7 @@
         boolean open = !over;
         over = true;
         target.load().ended(running);
-        target.connections().keep(connection, idleMillis);
+        target.connections().release(connection, idleMillis);
         if (open) {
             dispatch.responseEnded(this);
         }
--- a/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
+++ b/src/test/java/org/martenwell/exchange/TargetConnectionsTest.java
@@ -231,7 +231,7 @@
 
         @Override
         public void completed() {
-            connections.keep(used[0], 0);
+            connections.release(used[0], 0);
             // Postponed so that stray bytes after the response in the same read are processed
             // first.
             thread.loop().postLast(() -> results.add("completed " + body));
