--- a/src/main/java/org/martenwell/exchange/CallerServer.java
+++ b/src/main/java/org/martenwell/exchange/CallerServer.java
@@ -71,7 +71,7 @@
      *
      * @param changed The new limits; the maximum header size applies to new connections only.
      */
-    public void limit(ConnectionLimits changed) {
+    public void setLimits(ConnectionLimits changed) {
         limits = changed;
     }
 
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -198,7 +198,7 @@
     public void configurationChanged(GatewayConfiguration configuration, String document) {
         log.changed("configuration", configuration.version());
         core.configure(configuration);
-        callers.limit(configuration.limits());
+        callers.setLimits(configuration.limits());
         peerReporter.document(document);
         loadCachedParts();
     }
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -36,7 +36,7 @@
     @BeforeEach
     void start() {
         server = new CallerServer(thread.loop(), address, this::handle);
-        server.limit(new ConnectionLimits(1_024, 2_048, 60_000, 60_000));
+        server.setLimits(new ConnectionLimits(1_024, 2_048, 60_000, 60_000));
         thread.call(server::start);
     }
 
