--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -44,5 +44,5 @@
      *
      * @param requests All quarantined requests by fingerprint.
      */
-    void heldRequests(Map<Fingerprint, HeldRequest> requests);
+    void heldRequestsChanged(Map<Fingerprint, HeldRequest> requests);
 }
--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -149,7 +149,7 @@
                 held.put(request.get().fingerprint(), request.get());
             }
         }
-        listener.heldRequests(held);
+        listener.heldRequestsChanged(held);
     }
 
     private static void logFailure(String event, Object name, Exception failure) {
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void heldRequests(Map<Fingerprint, HeldRequest> requests) {
+    public void heldRequestsChanged(Map<Fingerprint, HeldRequest> requests) {
         core.harmful().stored(requests);
     }
 
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -183,7 +183,7 @@
         public void members(Map<String, GatewayMember> members) {}
 
         @Override
-        public void heldRequests(Map<Fingerprint, HeldRequest> held) {
+        public void heldRequestsChanged(Map<Fingerprint, HeldRequest> held) {
             requests = held;
         }
     }
