--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -30,7 +30,7 @@
      *
      * @param targets All current targets by id.
      */
-    void targets(Map<String, DirectoryTarget> targets);
+    void targetsChanged(Map<String, DirectoryTarget> targets);
 
     /**
      * Called when the set of gateways or one of them has changed.
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -297,7 +297,7 @@
                     entries.get(each.id()), "The start time is missing, unlike in most entries.");
         }
         unreadable.keySet().retainAll(entries.keySet());
-        listener.targets(all);
+        listener.targetsChanged(all);
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public void targets(Map<String, DirectoryTarget> targets) {
+    public void targetsChanged(Map<String, DirectoryTarget> targets) {
         targetsKnown = true;
         core.targets().update(targets);
         log.changed("targets", targets.size());
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -177,7 +177,7 @@
         }
 
         @Override
-        public void targets(Map<String, DirectoryTarget> targets) {}
+        public void targetsChanged(Map<String, DirectoryTarget> targets) {}
 
         @Override
         public void members(Map<String, GatewayMember> members) {}
