--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -37,7 +37,7 @@
      *
      * @param members All current gateways by name, including this one.
      */
-    void members(Map<String, GatewayMember> members);
+    void membersChanged(Map<String, GatewayMember> members);
 
     /**
      * Called when the set of quarantined requests has changed.
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -317,6 +317,6 @@
                 all.put(each.name(), new GatewayMember(each.name(), domain, address, processors));
             }
         }
-        listener.members(all);
+        listener.membersChanged(all);
     }
 }
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void members(Map<String, GatewayMember> members) {
+    public void membersChanged(Map<String, GatewayMember> members) {
         log.changed("members", members.keySet());
         gateways = members.keySet();
         peerReporter.members(members);
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -180,7 +180,7 @@
         public void targetsChanged(Map<String, DirectoryTarget> targets) {}
 
         @Override
-        public void members(Map<String, GatewayMember> members) {}
+        public void membersChanged(Map<String, GatewayMember> members) {}
 
         @Override
         public void heldRequestsChanged(Map<Fingerprint, HeldRequest> held) {
