--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -23,7 +23,7 @@
      * @param name The entry's name.
      * @param reason A description of the error, for the log.
      */
-    void unreadable(String name, String reason);
+    void entryUnreadable(String name, String reason);
 
     /**
      * Called when the set of targets or one of them has changed.
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -222,7 +222,7 @@
     private void reportUnreadable(StoredEntry entry, String reason) {
         Long reportedRevision = unreadable.put(entry.name(), entry.revision());
         if (reportedRevision == null || reportedRevision != entry.revision()) {
-            listener.unreadable(entry.name(), reason);
+            listener.entryUnreadable(entry.name(), reason);
         }
     }
 
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public void unreadable(String name, String reason) {
+    public void entryUnreadable(String name, String reason) {
         log.unreadable(name, reason);
     }
 
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -172,7 +172,7 @@
         public void configurationChanged(GatewayConfiguration configuration, String document) {}
 
         @Override
-        public void unreadable(String name, String reason) {
+        public void entryUnreadable(String name, String reason) {
             unreadable.add(name);
         }
 
