--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -312,9 +312,9 @@
     }
 
     @Override
-    public void connected(String peer) {
+    public void peerConnected(String peer) {
         network.send(peer, heartbeat());
-        scheduler.connected(peer);
+        scheduler.peerConnected(peer);
     }
 
     @Override
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void connected(String peer) {
+    public void peerConnected(String peer) {
         network.send(
                 peer,
                 sendsSnapshotTo(peer) ? reportBuilder.full() : reportBuilder.withoutCachedParts());
--- a/src/main/java/org/martenwell/peer/PeerConnection.java
+++ b/src/main/java/org/martenwell/peer/PeerConnection.java
@@ -207,7 +207,7 @@
         codec = new FrameCodec(key, nonce);
         messageWriter = new MessageWriter();
         delayMillis = INITIAL_DELAY_MILLIS;
-        listener.connected(name);
+        listener.peerConnected(name);
     }
 
     /**
--- a/src/main/java/org/martenwell/peer/PeerListener.java
+++ b/src/main/java/org/martenwell/peer/PeerListener.java
@@ -18,5 +18,5 @@
      *
      * @param peer The peer's name.
      */
-    void connected(String peer);
+    void peerConnected(String peer);
 }
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -217,7 +217,7 @@
      *
      * @param peer The peer's name.
      */
-    public void connected(String peer) {
+    public void peerConnected(String peer) {
         slots.requireCompleteReport(peer);
         sender.send(peer, counters.completeReport());
         for (ServiceReport report : counters.peerReports()) {
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -68,6 +68,6 @@
         public void received(PeerMessage message) {}
 
         @Override
-        public void connected(String peer) {}
+        public void peerConnected(String peer) {}
     }
 }
