--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -318,17 +318,17 @@
     }
 
     @Override
-    public void received(PeerMessage message) {
+    public void receive(PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            received(heartbeat);
+            receive(heartbeat);
         } else if (message instanceof ServiceReport report) {
-            scheduler.received(report);
+            scheduler.receive(report);
         } else if (message instanceof SlotReport report) {
-            scheduler.received(report);
+            scheduler.receive(report);
         } else if (message instanceof SlotGrants grants) {
-            scheduler.received(grants);
+            scheduler.receive(grants);
         } else if (message instanceof TargetNotice notice) {
-            monitor.received(notice);
+            monitor.receive(notice);
         } else if (message instanceof ConfigurationRequest request) {
             if (store.version() > request.newerThan()) {
                 network.send(
@@ -344,7 +344,7 @@
      *
      * @param heartbeat The heartbeat.
      */
-    private void received(Heartbeat heartbeat) {
+    private void receive(Heartbeat heartbeat) {
         boolean changed = membership.applyHeartbeat(heartbeat, reactor.currentTimeMillis());
         if (heartbeat.configurationVersion() > store.version()) {
             network.send(
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void received(PeerMessage message) {
+    public void receive(PeerMessage message) {
         if (message instanceof GatewayReport report) {
             receiveDirect(report);
         } else if (message instanceof ReportBatch batch) {
--- a/src/main/java/org/martenwell/peer/PeerListener.java
+++ b/src/main/java/org/martenwell/peer/PeerListener.java
@@ -10,7 +10,7 @@
      *
      * @param message The message.
      */
-    void received(PeerMessage message);
+    void receive(PeerMessage message);
 
     /**
      * Called when an outgoing connection to a peer is established, before any message is sent over
--- a/src/main/java/org/martenwell/peer/PeerServer.java
+++ b/src/main/java/org/martenwell/peer/PeerServer.java
@@ -145,7 +145,7 @@
 
     private void receive(FrameCodec codec, MessageReader messages, byte[] frame) {
         traffic.frameReceived(frame.length);
-        messages.read(codec.verify(frame)).forEach(listener::received);
+        messages.read(codec.verify(frame)).forEach(listener::receive);
     }
 
     /**
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -179,7 +179,7 @@
      *
      * @param report The report.
      */
-    public void received(SlotReport report) {
+    public void receive(SlotReport report) {
         coordinator.receive(report, reactor.currentTimeMillis());
         scheduleExchange();
     }
@@ -189,7 +189,7 @@
      *
      * @param grants The grants.
      */
-    public void received(SlotGrants grants) {
+    public void receive(SlotGrants grants) {
         completePending(slots.receive(grants));
         scheduleExchange();
     }
@@ -199,7 +199,7 @@
      *
      * @param report The counters.
      */
-    public void received(ServiceReport report) {
+    public void receive(ServiceReport report) {
         counters.receive(report);
     }
 
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -117,7 +117,7 @@
      *
      * @param notice The notice.
      */
-    public void received(TargetNotice notice) {
+    public void receive(TargetNotice notice) {
         acceptingTargets.applyNotice(notice.target(), notice.acceptsRequests());
         apply();
     }
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -65,7 +65,7 @@
     private static final class IgnoringListener implements PeerListener {
 
         @Override
-        public void received(PeerMessage message) {}
+        public void receive(PeerMessage message) {}
 
         @Override
         public void peerConnected(String peer) {}
