--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -451,7 +451,7 @@
         readiness.updateContact(follower.lastResponseAt(), listed.size(), (int) heard, now);
         if (change.hasChanges()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
-            scheduler.removed(change.removed());
+            scheduler.removeMembers(change.removed());
             reassign();
         }
     }
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -208,7 +208,7 @@
      *
      * @param peers The names of the peers.
      */
-    public void removed(Collection<String> peers) {
+    public void removeMembers(Collection<String> peers) {
         peers.forEach(counters::removeMember);
     }
 
