--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -511,7 +511,7 @@
         Map<String, CoordinatorReference> coordinators =
                 CoordinatorAssignment.INSTANCE.assign(targets, candidates);
         scheduler.assign(targets, coordinators, membership.names());
-        monitor.targets(targets);
+        monitor.setTargets(targets);
     }
 
     /**
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -79,7 +79,7 @@
      *
      * @param all All targets of the fleet.
      */
-    public void targets(List<Target> all) {
+    public void setTargets(List<Target> all) {
         targets = List.copyOf(all);
         apply();
     }
