--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -464,7 +464,7 @@
     private void listed(List<Box> boxes) {
         membership.replaceListedRouters(boxes);
         network.setPeers(membership.addresses());
-        monitor.listed(
+        monitor.setDraining(
                 boxes.stream()
                         .filter(box -> box.role() == BoxRole.TARGET)
                         .filter(box -> box.state() == BoxState.LEAVING)
--- a/src/main/java/org/martenwell/router/TargetMonitor.java
+++ b/src/main/java/org/martenwell/router/TargetMonitor.java
@@ -107,7 +107,7 @@
      *
      * @param draining The names of the targets that the box list marks as leaving.
      */
-    public void listed(Set<String> draining) {
+    public void setDraining(Set<String> draining) {
         acceptingTargets.setDraining(new HashSet<>(draining));
         apply();
     }
