--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -536,7 +536,7 @@
      * @return The configuration.
      */
     private ActiveConfiguration requireConfiguration() {
-        readiness.requireOpen(store.active().isPresent(), reactor.currentTimeMillis());
+        readiness.requireAcceptingRequests(store.active().isPresent(), reactor.currentTimeMillis());
         return store.active().orElseThrow();
     }
 
--- a/src/main/java/org/martenwell/router/Readiness.java
+++ b/src/main/java/org/martenwell/router/Readiness.java
@@ -76,7 +76,7 @@
      * @param configured {@code true} if a configuration is active.
      * @param now The current time in milliseconds.
      */
-    public void requireOpen(boolean configured, long now) {
+    public void requireAcceptingRequests(boolean configured, long now) {
         if (closed) {
             throw MartenwellException.of(ErrorKind.DRAINING, "The router is stopping.")
                     .withRetryAfter(1_000);
