--- a/src/main/java/org/martenwell/caller/CallerServlet.java
+++ b/src/main/java/org/martenwell/caller/CallerServlet.java
@@ -71,12 +71,12 @@
     private Promise<HttpResponse> route(HttpRequest request, String id) {
         String path = request.getPath();
         if (path.startsWith(SERVICES)) {
-            return services.serve(request, id).map(answer -> answered(answer, id));
+            return services.serve(request, id).map(answer -> responded(answer, id));
         }
         return switch (path) {
             case "/v1/chat/completions", "/v1/completions" -> {
                 requireMethod(request, HttpMethod.POST);
-                yield models.serve(request, id).map(answer -> answered(answer, id));
+                yield models.serve(request, id).map(answer -> responded(answer, id));
             }
             case "/v1/models" -> {
                 requireMethod(request, HttpMethod.GET);
@@ -108,8 +108,8 @@
      * @param id The request's id.
      * @return The response.
      */
-    private HttpResponse answered(RoutedResponse answer, String id) {
-        metrics.answered();
+    private HttpResponse responded(RoutedResponse answer, String id) {
+        metrics.responded();
         return CallerResponses.of(answer, id);
     }
 
--- a/src/main/java/org/martenwell/router/RouterMetrics.java
+++ b/src/main/java/org/martenwell/router/RouterMetrics.java
@@ -18,7 +18,7 @@
     private final Counter routed = registry.counter("requests_routed");
 
     /** Responses returned by targets or from the ledger. */
-    private final Counter answered = registry.counter("requests_answered");
+    private final Counter responded = registry.counter("requests_answered");
 
     private final Counter retried = registry.counter("requests_retried");
 
@@ -62,8 +62,8 @@
     }
 
     /** Counts a response returned by a target or from the ledger. */
-    public void answered() {
-        answered.inc();
+    public void responded() {
+        responded.inc();
     }
 
     /** Counts an attempt after the first. */
