--- a/src/main/java/org/martenwell/caller/CallerServlet.java
+++ b/src/main/java/org/martenwell/caller/CallerServlet.java
@@ -122,7 +122,7 @@
      */
     private Promise<HttpResponse> failed(Exception exception, String id) {
         MartenwellException failure = CallerResponses.failure(exception);
-        metrics.refused(failure.kind());
+        metrics.failed(failure.kind());
         return Promise.of(CallerResponses.of(failure, id));
     }
 }
--- a/src/main/java/org/martenwell/router/RouterMetrics.java
+++ b/src/main/java/org/martenwell/router/RouterMetrics.java
@@ -96,7 +96,7 @@
      *
      * @param kind The kind of error.
      */
-    public void refused(ErrorKind kind) {
+    public void failed(ErrorKind kind) {
         refusals.computeIfAbsent(kind, key -> registry.counter("refused_" + key.code())).inc();
     }
 }
--- a/src/main/java/org/martenwell/router/StreamAccounting.java
+++ b/src/main/java/org/martenwell/router/StreamAccounting.java
@@ -67,7 +67,7 @@
     @Override
     public void failed(MartenwellException failure) {
         metrics.streamClosed();
-        metrics.refused(failure.kind());
+        metrics.failed(failure.kind());
         log.failed(progress.request(), progress.withOverallOutcome(failure));
         scheduler.release(slot, true);
     }
