--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -576,7 +576,7 @@
         metrics.gauge("peer_bytes_sent", () -> network.traffic().bytesSent());
         metrics.gauge("peer_messages_sent", () -> network.traffic().messagesSent());
         metrics.gauge("peer_bytes_received", () -> network.traffic().bytesReceived());
-        metrics.gauge("peer_frames_refused", () -> network.traffic().badFrames());
+        metrics.gauge("peer_frames_refused", () -> network.traffic().rejectedFrames());
         metrics.gauge("platform_calls", platform::callCount);
         metrics.gauge("retries", () -> dispatcher.retryBudget().retries());
     }
--- a/src/main/java/org/martenwell/peer/PeerTraffic.java
+++ b/src/main/java/org/martenwell/peer/PeerTraffic.java
@@ -15,7 +15,7 @@
 
     private long bytesReceived;
 
-    private long badFrames;
+    private long rejectedFrames;
 
     /** Creates counters at zero. */
     public PeerTraffic() {}
@@ -61,7 +61,7 @@
 
     /** Counts a frame that was rejected as invalid. */
     void frameRejected() {
-        badFrames++;
+        rejectedFrames++;
     }
 
     /** {@return the total bytes sent, including the overhead of frames} */
@@ -80,7 +80,7 @@
     }
 
     /** {@return the total number of frames rejected as invalid} */
-    public long badFrames() {
-        return badFrames;
+    public long rejectedFrames() {
+        return rejectedFrames;
     }
 }
