--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -247,15 +247,15 @@
      */
     public FleetSample sample() {
         long bytes = 0;
-        Map<String, Long> bytesByKind = new TreeMap<>();
+        Map<String, Long> bytesByType = new TreeMap<>();
         for (int index = 0; index < routers.size(); index++) {
             RouterDaemon router = routers.get(index);
             PeerTraffic traffic = router.traffic();
             bytes += routerLoops.get(index).call(() -> Promise.of(traffic.bytesSent()));
             routerLoops
                     .get(index)
-                    .call(() -> Promise.of(traffic.bytesByKind()))
-                    .forEach((kind, sent) -> bytesByKind.merge(kind, sent, Long::sum));
+                    .call(() -> Promise.of(traffic.bytesByType()))
+                    .forEach((kind, sent) -> bytesByType.merge(kind, sent, Long::sum));
         }
         long produced = 0;
         long possible = 0;
@@ -268,7 +268,7 @@
         }
         long calls = platformLoop.call(() -> Promise.of(platform.counts())).total();
         return new FleetSample(
-                System.currentTimeMillis(), bytes, bytesByKind, produced, possible, calls);
+                System.currentTimeMillis(), bytes, bytesByType, produced, possible, calls);
     }
 
     /** Starts all parts. */
--- a/src/main/java/org/martenwell/peer/PeerTraffic.java
+++ b/src/main/java/org/martenwell/peer/PeerTraffic.java
@@ -7,7 +7,7 @@
 public final class PeerTraffic {
 
     /** The bytes of messages sent, by the metric label of their type. */
-    private final Map<String, Long> bytesByKind = new TreeMap<>();
+    private final Map<String, Long> bytesByType = new TreeMap<>();
 
     private long bytesSent;
 
@@ -38,7 +38,7 @@
     void messageSent(MessageType type, int bytes) {
         bytesSent += bytes;
         messagesSent++;
-        bytesByKind.merge(type.metricName(), (long) bytes, Long::sum);
+        bytesByType.merge(type.metricName(), (long) bytes, Long::sum);
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return The totals since the start by the metric label of the type.
      */
-    public Map<String, Long> bytesByKind() {
-        return new TreeMap<>(bytesByKind);
+    public Map<String, Long> bytesByType() {
+        return new TreeMap<>(bytesByType);
     }
 
     /**
