--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -142,7 +142,8 @@
         for (StoredEntry each : entries.values()) {
             Optional<HeldRequest> request = HeldRequestJson.read(each);
             if (request.isEmpty()) {
-                listener.entryUnreadable(each.name(), "The object is not a valid quarantined request.");
+                listener.entryUnreadable(
+                        each.name(), "The object is not a valid quarantined request.");
             } else if (request.get().sinceMillis() < expiredBefore) {
                 remove(each.name(), Optional.of(each.revision()));
             } else {
--- a/src/main/java/org/martenwell/exchange/ResponseListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Receives the response to one request, on the event loop. {@link #completed} or {@link #failed} is the
- * last call; neither is called once the connection is cancelled.
+ * Receives the response to one request, on the event loop. {@link #completed} or {@link #failed} is
+ * the last call; neither is called once the connection is cancelled.
  */
 public interface ResponseListener {
 
--- a/src/main/java/org/martenwell/router/RouterMetrics.java
+++ b/src/main/java/org/martenwell/router/RouterMetrics.java
@@ -31,7 +31,7 @@
     private final Histogram waitMillis = registry.histogram("wait_millis");
 
     /** Rejected and failed requests, by kind of error. */
-    private final Map<ErrorKind, Counter> refusals = new EnumMap<>(ErrorKind.class);
+    private final Map<ErrorKind, Counter> failures = new EnumMap<>(ErrorKind.class);
 
     /** Creates metrics with all counters at zero. */
     public RouterMetrics() {}
@@ -97,6 +97,6 @@
      * @param kind The kind of error.
      */
     public void failed(ErrorKind kind) {
-        refusals.computeIfAbsent(kind, key -> registry.counter("refused_" + key.code())).inc();
+        failures.computeIfAbsent(kind, key -> registry.counter("refused_" + key.code())).inc();
     }
 }
