--- a/src/main/java/org/martenwell/router/RequestProgress.java
+++ b/src/main/java/org/martenwell/router/RequestProgress.java
@@ -77,7 +77,7 @@
 
     /**
      * Sets the outcome of a failure to that of the whole request. An attempt counts as not run only
-     * if no byte was sent or the failure itself says so, as when the target rejected the request.
+     * if no byte was sent or the failure itself says so, as when the target refused the request.
      *
      * @param failure The failure of the current attempt.
      * @return The failure with the outcome over all attempts.
--- a/src/main/java/org/martenwell/schedule/QueueState.java
+++ b/src/main/java/org/martenwell/schedule/QueueState.java
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Converts this state to its form in a {@link SlotReport}.
+     * Converts this state to an entry of a {@link SlotReport}.
      *
      * @param key The queue.
      * @param now The current time in milliseconds.
--- a/src/main/java/org/martenwell/schedule/ServiceCounters.java
+++ b/src/main/java/org/martenwell/schedule/ServiceCounters.java
@@ -39,7 +39,7 @@
     /** Organisations that were granted slots since the last report. */
     private final Set<String> newlyGranted = new HashSet<>();
 
-    /** Highest value seen of the least service among backlogged organisations. */
+    /** Highest value so far of the least service among backlogged organisations. */
     private double liftLevel;
 
     /** Sequence number of the last report. */
--- a/src/main/java/org/martenwell/target/HttpTargetConnector.java
+++ b/src/main/java/org/martenwell/target/HttpTargetConnector.java
@@ -154,7 +154,7 @@
     }
 
     /**
-     * Checks the head of a response for a rejection before processing.
+     * Checks the head of a response for a refusal before processing.
      *
      * @param response The response.
      * @return The response with its unread body.
@@ -165,7 +165,7 @@
             response.takeBodyStream().close();
             throw MartenwellException.of(
                     ErrorKind.TARGET_REFUSED,
-                    "The target rejected the request before processing it.");
+                    "The target refused the request before processing it.");
         }
         return new TargetResponse(response.getCode(), headers, response.takeBodyStream());
     }
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void testExpectContinueIsAnsweredBeforeTheBody() throws IOException {
+    void testContinueIsSentBeforeTheBodyArrives() throws IOException {
         try (RawHttpClient client = new RawHttpClient(address)) {
             client.send("POST /echo HTTP/1.1|Host: x|Expect: 100-continue|Content-Length: 2||");
             assertThat(client.readUntil("\r\n\r\n")).startsWith("HTTP/1.1 100 Continue");
