--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -312,23 +312,23 @@
     }
 
     @Override
-    public void connected(String peer) {
+    public void peerConnected(String peer) {
         network.send(peer, heartbeat());
-        scheduler.connected(peer);
+        scheduler.peerConnected(peer);
     }
 
     @Override
-    public void received(PeerMessage message) {
+    public void receive(PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            received(heartbeat);
+            receive(heartbeat);
         } else if (message instanceof ServiceReport report) {
-            scheduler.received(report);
+            scheduler.receive(report);
         } else if (message instanceof SlotReport report) {
-            scheduler.received(report);
+            scheduler.receive(report);
         } else if (message instanceof SlotGrants grants) {
-            scheduler.received(grants);
+            scheduler.receive(grants);
         } else if (message instanceof TargetNotice notice) {
-            monitor.received(notice);
+            monitor.receive(notice);
         } else if (message instanceof ConfigurationRequest request) {
             if (store.version() > request.newerThan()) {
                 network.send(
@@ -344,7 +344,7 @@
      *
      * @param heartbeat The heartbeat.
      */
-    private void received(Heartbeat heartbeat) {
+    private void receive(Heartbeat heartbeat) {
         boolean changed = membership.applyHeartbeat(heartbeat, reactor.currentTimeMillis());
         if (heartbeat.configurationVersion() > store.version()) {
             network.send(
@@ -451,7 +451,7 @@
         readiness.updateContact(follower.lastResponseAt(), listed.size(), (int) heard, now);
         if (change.hasChanges()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
-            scheduler.removed(change.removed());
+            scheduler.removeMembers(change.removed());
             reassign();
         }
     }
@@ -464,7 +464,7 @@
     private void listed(List<Box> boxes) {
         membership.replaceListedRouters(boxes);
         network.setPeers(membership.addresses());
-        monitor.listed(
+        monitor.setDraining(
                 boxes.stream()
                         .filter(box -> box.role() == BoxRole.TARGET)
                         .filter(box -> box.state() == BoxState.LEAVING)
@@ -511,7 +511,7 @@
         Map<String, CoordinatorReference> coordinators =
                 CoordinatorAssignment.INSTANCE.assign(targets, candidates);
         scheduler.assign(targets, coordinators, membership.names());
-        monitor.targets(targets);
+        monitor.setTargets(targets);
     }
 
     /**
@@ -536,7 +536,7 @@
      * @return The configuration.
      */
     private ActiveConfiguration requireConfiguration() {
-        readiness.requireOpen(store.active().isPresent(), reactor.currentTimeMillis());
+        readiness.requireAcceptingRequests(store.active().isPresent(), reactor.currentTimeMillis());
         return store.active().orElseThrow();
     }
 
@@ -576,7 +576,7 @@
         metrics.gauge("peer_bytes_sent", () -> network.traffic().bytesSent());
         metrics.gauge("peer_messages_sent", () -> network.traffic().messagesSent());
         metrics.gauge("peer_bytes_received", () -> network.traffic().bytesReceived());
-        metrics.gauge("peer_frames_refused", () -> network.traffic().badFrames());
+        metrics.gauge("peer_frames_refused", () -> network.traffic().rejectedFrames());
         metrics.gauge("platform_calls", platform::callCount);
         metrics.gauge("retries", () -> dispatcher.retryBudget().retries());
     }
--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -23,26 +23,26 @@
      * @param name The entry's name.
      * @param reason A description of the error, for the log.
      */
-    void unreadable(String name, String reason);
+    void entryUnreadable(String name, String reason);
 
     /**
      * Called when the set of targets or one of them has changed.
      *
      * @param targets All current targets by id.
      */
-    void targets(Map<String, DirectoryTarget> targets);
+    void targetsChanged(Map<String, DirectoryTarget> targets);
 
     /**
      * Called when the set of gateways or one of them has changed.
      *
      * @param members All current gateways by name, including this one.
      */
-    void members(Map<String, GatewayMember> members);
+    void membersChanged(Map<String, GatewayMember> members);
 
     /**
      * Called when the set of quarantined requests has changed.
      *
      * @param requests All quarantined requests by fingerprint.
      */
-    void heldRequests(Map<Fingerprint, HeldRequest> requests);
+    void heldRequestsChanged(Map<Fingerprint, HeldRequest> requests);
 }
--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -44,7 +44,7 @@
     private boolean stopped;
 
     /**
-     * Creates a store access that is not started.
+     * Creates an instance that is not started.
      *
      * @param reactor The event loop.
      * @param store The store.
@@ -142,14 +142,15 @@
         for (StoredEntry each : entries.values()) {
             Optional<HeldRequest> request = HeldRequestJson.read(each);
             if (request.isEmpty()) {
-                listener.unreadable(each.name(), "The object is not a valid quarantined request.");
+                listener.entryUnreadable(
+                        each.name(), "The object is not a valid quarantined request.");
             } else if (request.get().sinceMillis() < expiredBefore) {
                 remove(each.name(), Optional.of(each.revision()));
             } else {
                 held.put(request.get().fingerprint(), request.get());
             }
         }
-        listener.heldRequests(held);
+        listener.heldRequestsChanged(held);
     }
 
     private static void logFailure(String event, Object name, Exception failure) {
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -21,7 +21,7 @@
 import org.martenwell.route.GatewayConfiguration;
 
 /**
- * Fleet directory backed by an {@link ObjectStore}. The version of the configuration in force never
+ * Fleet directory backed by an {@link ObjectStore}. The version of the active configuration never
  * decreases, even if the store or a peer provides an older one.
  */
 public final class StoreDirectory implements FleetDirectory {
@@ -60,7 +60,7 @@
 
     private final HeldRequestStore heldRequests;
 
-    /** The version of the configuration in force. */
+    /** The version of the active configuration. */
     private long version;
 
     /** The gateway entries of the last list, by name. */
@@ -222,7 +222,7 @@
     private void reportUnreadable(StoredEntry entry, String reason) {
         Long reportedRevision = unreadable.put(entry.name(), entry.revision());
         if (reportedRevision == null || reportedRevision != entry.revision()) {
-            listener.unreadable(entry.name(), reason);
+            listener.entryUnreadable(entry.name(), reason);
         }
     }
 
@@ -257,7 +257,7 @@
     }
 
     /**
-     * Applies a configuration if it is newer than the one in force. A malformed one is logged and
+     * Applies a configuration if it is newer than the active one. A malformed one is logged and
      * ignored.
      *
      * @param document The configuration as JSON.
@@ -297,7 +297,7 @@
                     entries.get(each.id()), "The start time is missing, unlike in most entries.");
         }
         unreadable.keySet().retainAll(entries.keySet());
-        listener.targets(all);
+        listener.targetsChanged(all);
     }
 
     /**
@@ -317,6 +317,6 @@
                 all.put(each.name(), new GatewayMember(each.name(), domain, address, processors));
             }
         }
-        listener.members(all);
+        listener.membersChanged(all);
     }
 }
--- a/src/main/java/org/martenwell/exchange/InternalHttpClient.java
+++ b/src/main/java/org/martenwell/exchange/InternalHttpClient.java
@@ -95,7 +95,7 @@
         return call;
     }
 
-    /** Closes idle connections and keeps none open from now on. */
+    /** Closes idle connections; those in use close when their calls complete. */
     public void close() {
         connections.close();
     }
@@ -127,20 +127,20 @@
         }
 
         @Override
-        public void begun(HttpResponse head) {
+        public void headReceived(HttpResponse head) {
             status = head.status().code();
         }
 
         @Override
-        public void received(byte[] piece) {
+        public void bodyPartReceived(byte[] piece) {
             body.writeBytes(piece);
         }
 
         @Override
-        public void ended() {
+        public void completed() {
             timer.cancel();
             if (reuseConnection) {
-                connections.keep(connection, 0);
+                connections.release(connection, 0);
             } else {
                 connection.cancel();
             }
--- a/src/main/java/org/martenwell/exchange/ResponseListener.java
+++ b/src/main/java/org/martenwell/exchange/ResponseListener.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /**
- * Receives the response to one request, on the event loop. {@link #ended} or {@link #failed} is the
- * last call; neither is called once the connection is cancelled.
+ * Receives the response to one request, on the event loop. {@link #completed} or {@link #failed} is
+ * the last call; neither is called once the connection is cancelled.
  */
 public interface ResponseListener {
 
@@ -22,17 +22,17 @@
      *
      * @param head The response head.
      */
-    void begun(HttpResponse head);
+    void headReceived(HttpResponse head);
 
     /**
      * Called for each non-empty piece of the response body.
      *
      * @param piece The bytes, owned by the listener.
      */
-    void received(byte[] piece);
+    void bodyPartReceived(byte[] piece);
 
     /** Called once the complete response has arrived. */
-    void ended();
+    void completed();
 
     /**
      * Called when no complete response can arrive any more.
--- a/src/main/java/org/martenwell/exchange/TargetConnection.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnection.java
@@ -173,12 +173,12 @@
                             } else if (bytes == null) {
                                 disconnected(true);
                             } else {
-                                received(bytes);
+                                processBytes(bytes);
                             }
                         });
     }
 
-    private void received(ByteBuf bytes) {
+    private void processBytes(ByteBuf bytes) {
         if (listener == null || closed) {
             bytes.recycle();
             close();
@@ -233,7 +233,7 @@
             return;
         }
         reusable = reusable && HttpUtil.isKeepAlive(responseHead) && selfDelimiting(responseHead);
-        listener.begun(responseHead);
+        listener.headReceived(responseHead);
     }
 
     /**
@@ -255,7 +255,7 @@
         if (!discarding && length > 0) {
             byte[] piece = new byte[length];
             content.content().getBytes(content.content().readerIndex(), piece);
-            listener.received(piece);
+            listener.bodyPartReceived(piece);
         }
         if (content instanceof LastHttpContent) {
             boolean matching = !discarding;
@@ -265,7 +265,7 @@
                 ResponseListener done = listener;
                 listener = null;
                 reusable = reusable && unwrittenBytes == 0;
-                done.ended();
+                done.completed();
             }
         }
     }
--- a/src/main/java/org/martenwell/exchange/TargetConnections.java
+++ b/src/main/java/org/martenwell/exchange/TargetConnections.java
@@ -31,7 +31,7 @@
     /** The idle connections, the last used one first. */
     private final Deque<TargetConnection> idle = new ArrayDeque<>();
 
-    /** Set once connections are no longer kept. */
+    /** Set once returned connections are closed instead of pooled. */
     private boolean closed;
 
     /**
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Checks that the target accepts connections, by opening one. It is kept for the next request.
+     * Checks that the target accepts connections, by opening one, which the next request uses.
      *
      * @param listener Receives the outcome.
      */
@@ -129,7 +129,7 @@
                                 listener.accept(ConnectResult.of(failure));
                                 return;
                             }
-                            keep(wrap(socket), 0);
+                            release(wrap(socket), 0);
                             listener.accept(ConnectResult.ACCEPTED);
                         });
     }
@@ -141,7 +141,7 @@
      * @param idleMillis The maximum idle time that the target announced, in milliseconds, or 0 for
      *     none.
      */
-    public void keep(TargetConnection connection, long idleMillis) {
+    public void release(TargetConnection connection, long idleMillis) {
         long effectiveIdleMillis = idleMillis > 0 ? idleMillis : DEFAULT_IDLE_MILLIS;
         connection.setUsableUntil(reactor.currentTimeMillis() + effectiveIdleMillis);
         if (closed || !connection.usable()) {
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -198,7 +198,7 @@
     public void configurationChanged(GatewayConfiguration configuration, String document) {
         log.changed("configuration", configuration.version());
         core.configure(configuration);
-        callers.limit(configuration.limits());
+        callers.setLimits(configuration.limits());
         peerReporter.document(document);
         loadCachedParts();
     }
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public void targets(Map<String, DirectoryTarget> targets) {
+    public void targetsChanged(Map<String, DirectoryTarget> targets) {
         targetsKnown = true;
         core.targets().update(targets);
         log.changed("targets", targets.size());
@@ -221,19 +221,19 @@
     }
 
     @Override
-    public void unreadable(String name, String reason) {
+    public void entryUnreadable(String name, String reason) {
         log.unreadable(name, reason);
     }
 
     @Override
-    public void members(Map<String, GatewayMember> members) {
+    public void membersChanged(Map<String, GatewayMember> members) {
         log.changed("members", members.keySet());
         gateways = members.keySet();
         peerReporter.members(members);
     }
 
     @Override
-    public void heldRequests(Map<Fingerprint, HeldRequest> requests) {
+    public void heldRequestsChanged(Map<Fingerprint, HeldRequest> requests) {
         core.harmful().stored(requests);
     }
 
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void received(PeerMessage message) {
+    public void receive(PeerMessage message) {
         if (message instanceof GatewayReport report) {
             receiveDirect(report);
         } else if (message instanceof ReportBatch batch) {
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void connected(String peer) {
+    public void peerConnected(String peer) {
         network.send(
                 peer,
                 sendsSnapshotTo(peer) ? reportBuilder.full() : reportBuilder.withoutCachedParts());
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void begun(HttpResponse head) {
+    public void headReceived(HttpResponse head) {
         Matcher timeout = IDLE_TIMEOUT.matcher(head.headers().get(KEEP_ALIVE, ""));
         if (timeout.find()) {
             long statedMillis = Long.parseLong(timeout.group(1)) * MILLIS_PER_SECOND;
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void received(byte[] piece) {
+    public void bodyPartReceived(byte[] piece) {
         heardMillis = dispatch.now();
         if (!over) {
             noteBodyBegun();
@@ -162,11 +162,11 @@
     }
 
     @Override
-    public void ended() {
+    public void completed() {
         boolean open = !over;
         over = true;
         target.load().ended(running);
-        target.connections().keep(connection, idleMillis);
+        target.connections().release(connection, idleMillis);
         if (open) {
             dispatch.responseEnded(this);
         }
--- a/src/main/java/org/martenwell/peer/PeerTraffic.java
+++ b/src/main/java/org/martenwell/peer/PeerTraffic.java
@@ -7,7 +7,7 @@
 public final class PeerTraffic {
 
     /** The bytes of messages sent, by the metric label of their type. */
-    private final Map<String, Long> bytesByKind = new TreeMap<>();
+    private final Map<String, Long> bytesByType = new TreeMap<>();
 
     private long bytesSent;
 
@@ -15,7 +15,7 @@
 
     private long bytesReceived;
 
-    private long badFrames;
+    private long rejectedFrames;
 
     /** Creates counters at zero. */
     public PeerTraffic() {}
@@ -38,7 +38,7 @@
     void messageSent(MessageType type, int bytes) {
         bytesSent += bytes;
         messagesSent++;
-        bytesByKind.merge(type.metricName(), (long) bytes, Long::sum);
+        bytesByType.merge(type.metricName(), (long) bytes, Long::sum);
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return The totals since the start by the metric label of the type.
      */
-    public Map<String, Long> bytesByKind() {
-        return new TreeMap<>(bytesByKind);
+    public Map<String, Long> bytesByType() {
+        return new TreeMap<>(bytesByType);
     }
 
     /**
@@ -61,7 +61,7 @@
 
     /** Counts a frame that was rejected as invalid. */
     void frameRejected() {
-        badFrames++;
+        rejectedFrames++;
     }
 
     /** {@return the total bytes sent, including the overhead of frames} */
@@ -80,7 +80,7 @@
     }
 
     /** {@return the total number of frames rejected as invalid} */
-    public long badFrames() {
-        return badFrames;
+    public long rejectedFrames() {
+        return rejectedFrames;
     }
 }
--- a/src/main/java/org/martenwell/router/FleetScheduler.java
+++ b/src/main/java/org/martenwell/router/FleetScheduler.java
@@ -33,8 +33,8 @@
 public final class FleetScheduler {
 
     /**
-     * Maximum number of report and grant exchanges within this router before the event loop goes
-     * on.
+     * Maximum number of report and grant exchanges within this router before the event loop
+     * continues with other tasks.
      */
     private static final int MAX_LOCAL_ROUNDS = 16;
 
@@ -89,7 +89,7 @@
      */
     public void configure(ActiveConfiguration configuration) {
         terms = new ContractTerms(configuration);
-        coordinator.terms(terms);
+        coordinator.setTerms(terms);
     }
 
     /**
@@ -160,7 +160,7 @@
      * @param failed {@code true} if the target failed.
      */
     public void release(Slot slot, boolean failed) {
-        slots.finish(slot, failed);
+        slots.release(slot, failed);
         scheduleExchange();
     }
 
@@ -179,7 +179,7 @@
      *
      * @param report The report.
      */
-    public void received(SlotReport report) {
+    public void receive(SlotReport report) {
         coordinator.receive(report, reactor.currentTimeMillis());
         scheduleExchange();
     }
@@ -189,7 +189,7 @@
      *
      * @param grants The grants.
      */
-    public void received(SlotGrants grants) {
+    public void receive(SlotGrants grants) {
         completePending(slots.receive(grants));
         scheduleExchange();
     }
@@ -199,16 +199,16 @@
      *
      * @param report The counters.
      */
-    public void received(ServiceReport report) {
+    public void receive(ServiceReport report) {
         counters.receive(report);
     }
 
     /**
-     * Drops the counters of peers that are no longer members.
+     * Clears the slots granted by peers that are no longer members.
      *
      * @param peers The names of the peers.
      */
-    public void removed(Collection<String> peers) {
+    public void removeMembers(Collection<String> peers) {
         peers.forEach(counters::removeMember);
     }
 
@@ -217,7 +217,7 @@
      *
      * @param peer The peer's name.
      */
-    public void connected(String peer) {
+    public void peerConnected(String peer) {
         slots.requireCompleteReport(peer);
         sender.send(peer, counters.completeReport());
         for (ServiceReport report : counters.peerReports()) {
@@ -232,7 +232,7 @@
     }
 
     /**
-     * Repeats unacknowledged grants and refreshes the reports to coordinators. Called periodically.
+     * Resends unacknowledged grants and refreshes the reports to coordinators. Called periodically.
      */
     public void maintain() {
         coordinator.maintain(reactor.currentTimeMillis());
--- a/src/main/java/org/martenwell/router/RouterMetrics.java
+++ b/src/main/java/org/martenwell/router/RouterMetrics.java
@@ -18,7 +18,7 @@
     private final Counter routed = registry.counter("requests_routed");
 
     /** Responses returned by targets or from the ledger. */
-    private final Counter answered = registry.counter("requests_answered");
+    private final Counter responded = registry.counter("requests_answered");
 
     private final Counter retried = registry.counter("requests_retried");
 
@@ -26,12 +26,12 @@
 
     private final Counter openStreams = registry.counter("streams_open");
 
-    private final Counter callersLeft = registry.counter("callers_left");
+    private final Counter callersDisconnected = registry.counter("callers_left");
 
     private final Histogram waitMillis = registry.histogram("wait_millis");
 
     /** Rejected and failed requests, by kind of error. */
-    private final Map<ErrorKind, Counter> refusals = new EnumMap<>(ErrorKind.class);
+    private final Map<ErrorKind, Counter> failures = new EnumMap<>(ErrorKind.class);
 
     /** Creates metrics with all counters at zero. */
     public RouterMetrics() {}
@@ -62,8 +62,8 @@
     }
 
     /** Counts a response returned by a target or from the ledger. */
-    public void answered() {
-        answered.inc();
+    public void responded() {
+        responded.inc();
     }
 
     /** Counts an attempt after the first. */
@@ -88,7 +88,7 @@
 
     /** Counts a caller that disconnected before the end of its response. */
     void callerDisconnected() {
-        callersLeft.inc();
+        callersDisconnected.inc();
     }
 
     /**
@@ -96,7 +96,7 @@
      *
      * @param kind The kind of error.
      */
-    public void refused(ErrorKind kind) {
-        refusals.computeIfAbsent(kind, key -> registry.counter("refused_" + key.code())).inc();
+    public void failed(ErrorKind kind) {
+        failures.computeIfAbsent(kind, key -> registry.counter("refused_" + key.code())).inc();
     }
 }
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -172,18 +172,18 @@
         public void configurationChanged(GatewayConfiguration configuration, String document) {}
 
         @Override
-        public void unreadable(String name, String reason) {
+        public void entryUnreadable(String name, String reason) {
             unreadable.add(name);
         }
 
         @Override
-        public void targets(Map<String, DirectoryTarget> targets) {}
+        public void targetsChanged(Map<String, DirectoryTarget> targets) {}
 
         @Override
-        public void members(Map<String, GatewayMember> members) {}
+        public void membersChanged(Map<String, GatewayMember> members) {}
 
         @Override
-        public void heldRequests(Map<Fingerprint, HeldRequest> held) {
+        public void heldRequestsChanged(Map<Fingerprint, HeldRequest> held) {
             requests = held;
         }
     }
--- a/src/test/java/org/martenwell/exchange/CallerServerTest.java
+++ b/src/test/java/org/martenwell/exchange/CallerServerTest.java
@@ -36,7 +36,7 @@
     @BeforeEach
     void start() {
         server = new CallerServer(thread.loop(), address, this::handle);
-        server.limit(new ConnectionLimits(1_024, 2_048, 60_000, 60_000));
+        server.setLimits(new ConnectionLimits(1_024, 2_048, 60_000, 60_000));
         thread.call(server::start);
     }
 
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void testExpectContinueIsAnsweredBeforeTheBody() throws IOException {
+    void testContinueIsSentBeforeTheBodyArrives() throws IOException {
         try (RawHttpClient client = new RawHttpClient(address)) {
             client.send("POST /echo HTTP/1.1|Host: x|Expect: 100-continue|Content-Length: 2||");
             assertThat(client.readUntil("\r\n\r\n")).startsWith("HTTP/1.1 100 Continue");
--- a/src/test/java/org/martenwell/peer/PeerNetworkTest.java
+++ b/src/test/java/org/martenwell/peer/PeerNetworkTest.java
@@ -65,9 +65,9 @@
     private static final class IgnoringListener implements PeerListener {
 
         @Override
-        public void received(PeerMessage message) {}
+        public void receive(PeerMessage message) {}
 
         @Override
-        public void connected(String peer) {}
+        public void peerConnected(String peer) {}
     }
 }
