--- a/src/main/java/org/martenwell/balance/Availabilities.java
+++ b/src/main/java/org/martenwell/balance/Availabilities.java
@@ -24,7 +24,7 @@
     /**
      * Returns the availability of a target, and creates it at the first call for its incarnation.
      *
-     * @param incarnation The target's incarnation, as in {@code DirectoryTarget.life()}.
+     * @param incarnation The target's incarnation, as in {@code DirectoryTarget.incarnation()}.
      * @return The same object for each call, until other incarnations have displaced it.
      */
     public Availability of(String incarnation) {
--- a/src/main/java/org/martenwell/balance/Availability.java
+++ b/src/main/java/org/martenwell/balance/Availability.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The state that a target has announced for its present incarnation: draining, which is final, or a
+ * The state that a target has announced for its current incarnation: draining, which is final, or a
  * pause in which it accepts nothing from this gateway. It is checked before anything is sent to the
  * target.
  */
@@ -15,10 +15,13 @@
      */
     private static final long MAX_PAUSE_MILLIS = 300_000;
 
-    /** The source of the news that the target is draining; empty if it is not known to drain. */
+    /** The source of the notice that the target is draining; empty if there was none. */
     private Optional<NoticeSource> drainSource = Optional.empty();
 
-    /** The time at which draining became known, in milliseconds; 0 if it is not known to drain. */
+    /**
+     * The time at which draining became known, in milliseconds; 0 if it is not known to be
+     * draining.
+     */
     private long drainingSinceMillis;
 
     /** The end of the latest pause, in milliseconds. */
--- a/src/main/java/org/martenwell/balance/EngineChooser.java
+++ b/src/main/java/org/martenwell/balance/EngineChooser.java
@@ -19,7 +19,7 @@
  */
 public final class EngineChooser {
 
-    /** The fraction of an engine's memory that requests may fill. */
+    /** The fraction of an engine's KV cache that requests may fill. */
     private static final double MEMORY_FRACTION = 0.9;
 
     /** The fraction of the latency objective that the estimated time to the first event may use. */
@@ -58,12 +58,12 @@
     /**
      * Computes the work that a request adds to an engine, on the scale of the costs.
      *
-     * @param unreadMillis The time for its prefill, in milliseconds.
+     * @param prefillMillis The time for its prefill, in milliseconds.
      * @param slots The number of requests that the engine runs at a time.
      * @return The work in milliseconds.
      */
-    public static double workMillis(double unreadMillis, int slots) {
-        return unreadMillis + FULL_LOAD_MILLIS / Math.max(1, slots);
+    public static double workMillis(double prefillMillis, int slots) {
+        return prefillMillis + FULL_LOAD_MILLIS / Math.max(1, slots);
     }
 
     /**
@@ -73,7 +73,7 @@
      * @param demand The demand of the request.
      * @param tier The fair share that it falls within.
      * @param loads The engines.
-     * @param terms The limits of the service's engines.
+     * @param capacity The capacity of each of the service's engines.
      * @param rate The prefill rate of the service's engines.
      * @param now The current time, in milliseconds.
      * @return The engines with a free slot, enough memory and an acceptable backlog.
@@ -82,14 +82,14 @@
             EngineDemand demand,
             ShareTier tier,
             Collection<TargetLoad> loads,
-            EngineCapacity terms,
+            EngineCapacity capacity,
             PrefillRate rate,
             long now) {
         double maxBacklogMillis = allowedBacklogMillis(demand, tier, 0, rate, now);
         List<TargetLoad> found = new ArrayList<>();
         for (TargetLoad each : loads) {
-            LoadSums sums = each.all(now);
-            if (hasCapacity(each, sums, demand, tier, terms)
+            LoadSums sums = each.totalLoad(now);
+            if (hasCapacity(each, sums, demand, tier, capacity)
                     && rate.millis(sums.prefillTokens()) <= maxBacklogMillis) {
                 found.add(each);
             }
@@ -104,7 +104,7 @@
      * @param tier The fair share that it falls within.
      * @param candidates The engines selected by {@link #withCapacity}.
      * @param cacheLookup The cached parts of the prompt by engine.
-     * @param terms The limits of the service's engines.
+     * @param capacity The capacity of each of the service's engines.
      * @param rate The prefill rate of the service's engines.
      * @param unreportedMillis The estimated work that peers have sent to each engine since their
      *     last reports, in milliseconds; 0 disables the noise on costs.
@@ -116,7 +116,7 @@
             ShareTier tier,
             Collection<TargetLoad> candidates,
             PromptCacheLookup cacheLookup,
-            EngineCapacity terms,
+            EngineCapacity capacity,
             PrefillRate rate,
             double unreportedMillis,
             long now) {
@@ -124,11 +124,14 @@
         EngineChoice best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         for (TargetLoad each : candidates) {
-            LoadSums sums = each.all(now);
+            LoadSums sums = each.totalLoad(now);
             double backlog = rate.millis(sums.prefillTokens());
             Optional<TargetLoad> source =
-                    terms.canCopyCache() ? cacheLookup.source(each) : Optional.empty();
-            long cached = source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(each);
+                    capacity.canCopyCache() ? cacheLookup.copySource(each) : Optional.empty();
+            long cached =
+                    source.isPresent()
+                            ? cacheLookup.maxCachedTokens()
+                            : cacheLookup.cachedTokens(each);
             long prefill = demand.promptTokens() - cached;
             double prefillMillis = rate.millis(prefill) + (source.isPresent() ? COPY_MILLIS : 0);
             if (backlog > allowedBacklogMillis(demand, tier, prefillMillis, rate, now)) {
@@ -137,7 +140,7 @@
             double cost =
                     backlog
                             + prefillMillis
-                            + FULL_LOAD_MILLIS * sums.requests() / slots(each, terms)
+                            + FULL_LOAD_MILLIS * sums.requests() / slots(each, capacity)
                             + ALL_FAILING_MILLIS * each.health().failureRate(now)
                             + (each.target().failureDomain().equals(failureDomain)
                                     ? 0
@@ -179,7 +182,8 @@
      */
     private static double affinityMillis(
             EngineDemand demand, PromptCacheLookup cacheLookup, PrefillRate rate) {
-        long uncachedTokens = Math.max(0, demand.chain().totalTokens() - cacheLookup.most());
+        long uncachedTokens =
+                Math.max(0, demand.chain().totalTokens() - cacheLookup.maxCachedTokens());
         return Math.max(MIN_AFFINITY_MILLIS, rate.millis(uncachedTokens));
     }
 
@@ -191,7 +195,7 @@
      * @param sums The load of all gateways on the engine.
      * @param demand The demand of the request.
      * @param tier The fair share that it falls within.
-     * @param terms The limits of the service's engines.
+     * @param capacity The capacity of each of the service's engines.
      * @return {@code true} if it has both.
      */
     private static boolean hasCapacity(
@@ -199,12 +203,12 @@
             LoadSums sums,
             EngineDemand demand,
             ShareTier tier,
-            EngineCapacity terms) {
+            EngineCapacity capacity) {
         double fillFraction = tier.fillFraction();
-        long memory = sums.memoryTokens() + demand.ownTokens() + demand.answerTokens();
-        return sums.requests() < fillFraction * slots(load, terms)
+        long memory = sums.memoryTokens() + demand.ownTokens() + demand.responseTokens();
+        return sums.requests() < fillFraction * slots(load, capacity)
                 && (sums.requests() == 0
-                        || memory < fillFraction * MEMORY_FRACTION * terms.memoryTokens());
+                        || memory < fillFraction * MEMORY_FRACTION * capacity.memoryTokens());
     }
 
     /**
@@ -235,10 +239,10 @@
      * Returns the number of requests that an engine runs at a time.
      *
      * @param load The engine.
-     * @param terms The limits that apply if the engine has not announced its slots.
+     * @param capacity The configured capacity, used if the engine has not announced its slots.
      * @return The number of slots.
      */
-    private static int slots(TargetLoad load, EngineCapacity terms) {
-        return load.target().slots() > 0 ? load.target().slots() : terms.slots();
+    private static int slots(TargetLoad load, EngineCapacity capacity) {
+        return load.target().slots() > 0 ? load.target().slots() : capacity.slots();
     }
 }
--- a/src/main/java/org/martenwell/balance/EngineDemand.java
+++ b/src/main/java/org/martenwell/balance/EngineDemand.java
@@ -3,12 +3,12 @@
 import org.martenwell.prompt.PromptChain;
 
 /**
- * The demand of a request to a model engine.
+ * The resources that a request needs at a model engine.
  *
  * @param organisation The organisation that sent the request.
  * @param chain The shared parts of its prompt.
  * @param promptTokens The size of the whole prompt, in tokens.
- * @param answerTokens The expected size of the response, in tokens.
+ * @param responseTokens The expected size of the response, in tokens.
  * @param objectiveMillis The latency objective for the first event, in milliseconds from the
  *     arrival.
  * @param arrivedMillis The time of arrival, in milliseconds.
@@ -17,16 +17,16 @@
         String organisation,
         PromptChain chain,
         long promptTokens,
-        long answerTokens,
+        long responseTokens,
         long objectiveMillis,
         long arrivedMillis) {
 
     /** The cost of a response token, in prompt tokens. */
-    private static final int ANSWER_WEIGHT = 2;
+    private static final int RESPONSE_WEIGHT = 2;
 
     /** {@return the cost of the request, in tokens} */
     public double cost() {
-        return promptTokens + (double) ANSWER_WEIGHT * answerTokens;
+        return promptTokens + (double) RESPONSE_WEIGHT * responseTokens;
     }
 
     /** {@return the tokens of the prompt that belong to no shared part} */
--- a/src/main/java/org/martenwell/balance/EngineReserve.java
+++ b/src/main/java/org/martenwell/balance/EngineReserve.java
@@ -27,7 +27,7 @@
      */
     private static final double INITIAL_TOKENS = 100_000;
 
-    /** The utilisation up to which at least one engine stays unreserved. */
+    /** The fraction of required engines up to which at least one engine stays unreserved. */
     private static final double SPARE_GUARANTEE_FRACTION = 0.5;
 
     /** The prefill time of requests within shares, as a decaying sum in milliseconds. */
--- a/src/main/java/org/martenwell/balance/LoadSums.java
+++ b/src/main/java/org/martenwell/balance/LoadSums.java
@@ -5,7 +5,7 @@
  *
  * @param requests The number of requests.
  * @param prefillTokens The prompt tokens whose prefill has not finished.
- * @param memoryTokens The memory that the requests need, in tokens.
+ * @param memoryTokens The KV cache that the requests occupy, in tokens.
  */
 public record LoadSums(int requests, long prefillTokens, long memoryTokens) {
 
--- a/src/main/java/org/martenwell/balance/PrefillRate.java
+++ b/src/main/java/org/martenwell/balance/PrefillRate.java
@@ -37,7 +37,7 @@
     public PrefillRate() {}
 
     /**
-     * Updates the estimate by a request. Outliers are limited to a multiple of the present
+     * Updates the estimate by a request. Outliers are limited to a multiple of the current
      * estimate.
      *
      * @param request The request.
--- a/src/main/java/org/martenwell/balance/PromptCacheLookup.java
+++ b/src/main/java/org/martenwell/balance/PromptCacheLookup.java
@@ -65,7 +65,7 @@
      *
      * @return The tokens, 0 if no engine has any.
      */
-    public long most() {
+    public long maxCachedTokens() {
         return maxTokens;
     }
 
@@ -75,7 +75,7 @@
      * @param load The engine that would receive the copy.
      * @return The engine with the most cached tokens, or empty if the gain is too small.
      */
-    public Optional<TargetLoad> source(TargetLoad load) {
+    public Optional<TargetLoad> copySource(TargetLoad load) {
         boolean worthwhile = maxTokens - cachedTokens(load) >= MIN_COPY_TOKENS;
         return worthwhile ? Optional.ofNullable(largestHolder) : Optional.empty();
     }
--- a/src/main/java/org/martenwell/balance/RunningRequest.java
+++ b/src/main/java/org/martenwell/balance/RunningRequest.java
@@ -4,7 +4,7 @@
  * A request that was sent to a target and has not ended.
  *
  * @param prefillTokens The prompt tokens that need prefill.
- * @param memoryTokens The memory of the target that the request uses alone, in tokens.
+ * @param memoryTokens The KV cache that the request occupies apart from shared parts, in tokens.
  * @param sentMillis The time at which it was sent, in milliseconds.
  * @param backlogMillis The estimated time for which the target was busy before the request, in
  *     milliseconds.
--- a/src/main/java/org/martenwell/balance/ServiceChooser.java
+++ b/src/main/java/org/martenwell/balance/ServiceChooser.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Chooses the target of a request to a service other than a model engine, by the fraction of its
- * slots in use.
+ * Chooses the target of a request to a plain service, which is one without model engines, by the
+ * fraction of its slots in use.
  */
 public final class ServiceChooser {
 
@@ -40,7 +40,7 @@
         double bestCost = Double.POSITIVE_INFINITY;
         for (TargetLoad each : loads) {
             double cost =
-                    (double) each.all(now).requests() / Math.max(1, each.target().slots())
+                    (double) each.totalLoad(now).requests() / Math.max(1, each.target().slots())
                             + ALL_FAILING_COST * each.health().failureRate(now)
                             + (each.target().failureDomain().equals(failureDomain)
                                     ? 0
--- a/src/main/java/org/martenwell/balance/TargetLoad.java
+++ b/src/main/java/org/martenwell/balance/TargetLoad.java
@@ -155,7 +155,7 @@
      * @param sums The peer's load on the target; {@link LoadSums#NONE} if it has no requests there.
      * @param now The current time, in milliseconds.
      */
-    public void peer(String peer, LoadSums sums, long now) {
+    public void applyPeerReport(String peer, LoadSums sums, long now) {
         PeerLoad before =
                 sums.equals(LoadSums.NONE)
                         ? peers.remove(peer)
@@ -178,7 +178,7 @@
      * @param now The current time, in milliseconds.
      * @return The total load.
      */
-    public LoadSums all(long now) {
+    public LoadSums totalLoad(long now) {
         if (now > peersValidUntilMillis) {
             removeExpiredReports(now);
         }
--- a/src/main/java/org/martenwell/balance/UnreportedWork.java
+++ b/src/main/java/org/martenwell/balance/UnreportedWork.java
@@ -33,7 +33,7 @@
      * @param others The number of other gateways.
      * @param averageAgeMillis The mean age of their reports, in milliseconds.
      */
-    public void fleet(int others, double averageAgeMillis) {
+    public void updateFleet(int others, double averageAgeMillis) {
         otherGateways = others;
         reportAgeMillis = averageAgeMillis;
     }
--- a/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
+++ b/src/main/java/org/martenwell/gateway/AssumedCacheEntries.java
@@ -9,7 +9,7 @@
 /**
  * Prompt parts that are assumed to be in an engine's cache because a request with them was sent to
  * it. They are rolled back if the engine did not prefill the prompt: engines report only changes of
- * their cache, so nothing else would correct the assumption.
+ * their cache, so no report would correct the assumption.
  */
 final class AssumedCacheEntries {
 
--- a/src/main/java/org/martenwell/gateway/CacheChangePoller.java
+++ b/src/main/java/org/martenwell/gateway/CacheChangePoller.java
@@ -9,21 +9,24 @@
 import org.martenwell.prompt.PromptChain;
 
 /**
- * Long poll of one engine for changes of its prompt cache. Changes arrive late and some are lost,
- * so they correct the gateway's assumptions about the cache rather than replace them.
+ * Long-polls one engine for changes of its prompt cache. Changes arrive late and some are lost, so
+ * they correct the gateway's assumptions about the cache rather than replace them.
  */
 final class CacheChangePoller {
 
-    /** The longest time that an engine may hold a call while nothing changes, in milliseconds. */
+    /**
+     * The longest time that an engine may delay its response while nothing changes, in
+     * milliseconds.
+     */
     private static final long POLL_WAIT_MILLIS = 1_000;
 
-    /** The time that a call may take beyond {@link #POLL_WAIT_MILLIS}, in milliseconds. */
+    /** The time that a poll may take beyond {@link #POLL_WAIT_MILLIS}, in milliseconds. */
     private static final long EXTRA_TIMEOUT_MILLIS = 1_500;
 
-    /** The delay between a response and the next call, in milliseconds. */
+    /** The delay between a response and the next poll, in milliseconds. */
     private static final long INTERVAL_MILLIS = 250;
 
-    /** The delay between a failed call and the next one, in milliseconds. */
+    /** The delay between a failed poll and the next one, in milliseconds. */
     private static final long FAILURE_BACKOFF_MILLIS = 2_000;
 
     private static final int OK = 200;
@@ -32,7 +35,7 @@
 
     private final KnownTarget target;
 
-    private final InternalHttpClient caller;
+    private final InternalHttpClient client;
 
     /** The position in the engine's log of changes to continue from. */
     private long since;
@@ -42,7 +45,7 @@
     private CacheChangePoller(GatewayCore core, KnownTarget target) {
         this.core = core;
         this.target = target;
-        this.caller = core.targets().caller(target);
+        this.client = core.targets().createClient(target);
     }
 
     /**
@@ -50,16 +53,16 @@
      *
      * @param core The state that all requests share.
      * @param target The engine.
-     * @return The poll, which runs until {@link #close}.
+     * @return The poller, which runs until {@link #close}.
      */
-    static CacheChangePoller open(GatewayCore core, KnownTarget target) {
+    static CacheChangePoller start(GatewayCore core, KnownTarget target) {
         CacheChangePoller poller = new CacheChangePoller(core, target);
         poller.poll();
         return poller;
     }
 
     /**
-     * Tells whether a target is the incarnation of the engine that is polled.
+     * Returns whether a target is the incarnation that is polled.
      *
      * @param other The target.
      * @return {@code true} if both are the same process.
@@ -71,10 +74,10 @@
     /** Stops polling and closes the connection. */
     void close() {
         closed = true;
-        caller.close();
+        client.close();
     }
 
-    /** Requests changes, or postpones the call while the engine asks for a pause. */
+    /** Requests changes, or postpones the request while the engine is paused. */
     private void poll() {
         if (closed) {
             return;
@@ -85,14 +88,14 @@
             return;
         }
         String host = target.load().target().address().getHostString();
-        caller.call(
+        client.call(
                         core.dialect().cacheChangesRequest(host, since, POLL_WAIT_MILLIS),
                         POLL_WAIT_MILLIS + EXTRA_TIMEOUT_MILLIS)
                 .subscribe(
-                        (reply, failure) -> {
-                            boolean good = failure == null && reply.status() == OK;
+                        (response, failure) -> {
+                            boolean good = failure == null && response.status() == OK;
                             if (good) {
-                                applyChanges(reply);
+                                applyChanges(response);
                             }
                             schedulePoll(good ? INTERVAL_MILLIS : FAILURE_BACKOFF_MILLIS);
                         });
@@ -104,19 +107,19 @@
         }
     }
 
-    private void applyChanges(BufferedResponse reply) {
-        CachedPartChanges changes = core.dialect().parseCacheChanges(reply.body());
+    private void applyChanges(BufferedResponse response) {
+        CachedPartChanges changes = core.dialect().parseCacheChanges(response.body());
         since = changes.next();
         changes.parts().forEach(this::applyChange);
         core.log().cacheChangesReceived(changes.parts().size(), changes.lost());
     }
 
-    /** Applies a change. Additions of parts that only one request has used are ignored. */
+    /** Applies a change. Added parts that aren't known to be shared are ignored. */
     private void applyChange(CachedPart change) {
         long key = PromptChain.key(change.model(), change.part().id());
         long tokens = change.part().tokens();
-        PromptCacheView memory = target.load().promptCache();
-        boolean differs = tokens > 0 != memory.contains(key);
+        PromptCacheView promptCache = target.load().promptCache();
+        boolean differs = tokens > 0 != promptCache.contains(key);
         if (!differs || (tokens > 0 && !core.sharedKeys().contains(key))) {
             return;
         }
@@ -124,9 +127,9 @@
         core.queueCacheUpdate(
                 new CachedPartUpdate(target.load().target().incarnation(), key, tokens));
         if (tokens > 0) {
-            memory.put(key, tokens, core.promptCacheCapacity(target.load()));
+            promptCache.put(key, tokens, core.promptCacheCapacity(target.load()));
         } else {
-            memory.evict(key);
+            promptCache.evict(key);
         }
     }
 }
--- a/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsFollower.java
@@ -69,7 +69,7 @@
                 .removeIf(each -> closeUnlessOwned(each.getKey(), each.getValue(), owned));
         owned.forEach(
                 (id, target) ->
-                        followed.computeIfAbsent(id, key -> CacheChangePoller.open(core, target)));
+                        followed.computeIfAbsent(id, key -> CacheChangePoller.start(core, target)));
         scheduleCheck();
     }
 
--- a/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
+++ b/src/main/java/org/martenwell/gateway/CachedPartsLoader.java
@@ -45,7 +45,8 @@
     }
 
     /**
-     * Requests the prompt caches of engines that this gateway owns and of which nothing is known.
+     * Requests the prompt caches of engines that this gateway owns and of whose caches nothing is
+     * known.
      *
      * @param gateways The names of all gateways.
      */
@@ -59,7 +60,7 @@
     }
 
     /**
-     * Returns whether this gateway is the first of all by rendezvous hash for a target.
+     * Returns whether this gateway has the highest rendezvous score of all for a target.
      *
      * @param target The target.
      * @param gateways The names of all gateways.
@@ -82,15 +83,15 @@
             core.reactor().delayBackground(pauseMillis, () -> requestParts(target));
             return;
         }
-        InternalHttpClient caller = core.targets().caller(target);
+        InternalHttpClient client = core.targets().createClient(target);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.HOST, target.load().target().address().getHostString());
         OutboundRequest request =
                 new OutboundRequest(
                         HttpMethod.GET, core.dialect().cachedPartsPath(), headers, Body.EMPTY);
-        caller.call(request, TIMEOUT_MILLIS)
-                .whenResult(reply -> storeParts(target, reply))
-                .whenComplete(caller::close);
+        client.call(request, TIMEOUT_MILLIS)
+                .whenResult(response -> storeParts(target, response))
+                .whenComplete(client::close);
     }
 
     /**
@@ -98,14 +99,14 @@
      * peers.
      *
      * @param target The engine.
-     * @param reply The engine's response.
+     * @param response The engine's response.
      */
-    private void storeParts(KnownTarget target, BufferedResponse reply) {
-        if (reply.status() != OK) {
+    private void storeParts(KnownTarget target, BufferedResponse response) {
+        if (response.status() != OK) {
             return;
         }
         String incarnation = target.load().target().incarnation();
-        for (CachedPart each : core.dialect().parseCachedParts(reply.body())) {
+        for (CachedPart each : core.dialect().parseCachedParts(response.body())) {
             long key = PromptChain.key(each.model(), each.part().id());
             long tokens = each.part().tokens();
             target.load().promptCache().put(key, tokens, core.promptCacheCapacity(target.load()));
--- a/src/main/java/org/martenwell/gateway/ConfigurationCatchUp.java
+++ b/src/main/java/org/martenwell/gateway/ConfigurationCatchUp.java
@@ -2,8 +2,8 @@
 
 /**
  * Decides when to request a newer configuration from a peer. The store usually delivers it first,
- * so requests start after a grace period, and to one peer at a time, so that a new version reported
- * by all peers isn't fetched from each of them.
+ * so requests start after a grace period. Only one peer is asked at a time, so that a version that
+ * all peers report isn't fetched from each of them.
  */
 final class ConfigurationCatchUp {
 
@@ -11,7 +11,7 @@
     private static final long STORE_GRACE_MILLIS = 120;
 
     /** The time that a peer has to respond before another is asked, in milliseconds. */
-    private static final long ANSWER_TIMEOUT_MILLIS = 200;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 200;
 
     /** The newest version that a peer reported. */
     private long newestReported;
@@ -44,7 +44,8 @@
         }
         newestReported = Math.max(newestReported, peerVersion);
         long grace = ownVersion == 0 ? 0 : STORE_GRACE_MILLIS;
-        if (now - newerReportedMillis < grace || now - lastRequestMillis < ANSWER_TIMEOUT_MILLIS) {
+        if (now - newerReportedMillis < grace
+                || now - lastRequestMillis < RESPONSE_TIMEOUT_MILLIS) {
             return false;
         }
         lastRequestMillis = now;
--- a/src/main/java/org/martenwell/gateway/DeadMemberDetector.java
+++ b/src/main/java/org/martenwell/gateway/DeadMemberDetector.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Detects gateways that ended without leaving the directory, whose entries don't expire. One of the
- * live gateways removes them; a gateway that was only unreachable joins again.
+ * Detects gateways that terminated without removing their directory entry, since these entries
+ * don't expire. One of the live gateways removes the entry; a gateway that was only unreachable
+ * registers again.
  */
 final class DeadMemberDetector {
 
@@ -32,8 +33,8 @@
      */
     List<String> findDead(Collection<String> peers, LivePeers live, long now) {
         silentSince.keySet().retainAll(peers);
-        long heard = peers.stream().filter(each -> live.isLive(each, now)).count();
-        if (2 * heard < peers.size()) {
+        long liveCount = peers.stream().filter(each -> live.isLive(each, now)).count();
+        if (2 * liveCount < peers.size()) {
             silentSince.clear();
             return List.of();
         }
--- a/src/main/java/org/martenwell/gateway/EngineQueue.java
+++ b/src/main/java/org/martenwell/gateway/EngineQueue.java
@@ -16,7 +16,7 @@
 
     private static final long MAX_RETRY_MILLIS = 25;
 
-    /** The number of waiting requests for which the retry interval grows by a millisecond. */
+    /** The number of waiting requests that add a millisecond to the retry interval. */
     private static final int REQUESTS_PER_EXTRA_MILLI = 4;
 
     private final NioReactor reactor;
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -19,21 +19,21 @@
 /** Routing of one model request: the choice of an engine, and the decision to wait or to refuse. */
 final class EngineRouting {
 
-    /** The part of the route's latency objective for which a request may wait for capacity. */
-    private static final double MAX_WAIT_PART = 0.2;
+    /** The fraction of the route's latency objective for which a request may wait for capacity. */
+    private static final double MAX_WAIT_FRACTION = 0.2;
 
     private final GatewayCore core;
 
     private final EngineDemand demand;
 
-    private final EngineCapacity engine;
+    private final EngineCapacity capacity;
 
     private final String service;
 
     /** The share tier of the request at the last decision. */
     private ShareTier tier = ShareTier.PROMISED;
 
-    /** The cache entries assumed by the present attempt, until its response begins. */
+    /** The cache entries assumed by the current attempt, until its response begins. */
     private Optional<AssumedCacheEntries> assumedEntries = Optional.empty();
 
     /** The charge for the request to its organisation's share, empty if there is none. */
@@ -61,20 +61,20 @@
      *
      * @param core The state that all requests share.
      * @param demand The resources that the request needs.
-     * @param engine The capacity of the engines.
+     * @param capacity The capacity of each engine.
      * @param service The name of the engines' service.
      */
-    EngineRouting(GatewayCore core, EngineDemand demand, EngineCapacity engine, String service) {
+    EngineRouting(GatewayCore core, EngineDemand demand, EngineCapacity capacity, String service) {
         this.core = core;
         this.demand = demand;
-        this.engine = engine;
+        this.capacity = capacity;
         this.service = service;
     }
 
     /** Records the organisation's demand and the prompt parts that the request may share. */
     void recordDemand() {
         for (int index = 0; index < demand.chain().length(); index++) {
-            core.sharedKeys().seen(demand.chain().key(index));
+            core.sharedKeys().add(demand.chain().key(index));
         }
         core.shares().requested(demand.organisation(), demand.cost(), core.now());
     }
@@ -93,27 +93,28 @@
      * Decides whether the request is sent, waits or is refused. A request that was attempted before
      * neither waits nor is refused: it goes to the least loaded engine if none has capacity.
      *
-     * @param open The engines that accept requests, at least one.
+     * @param available The engines that accept requests, at least one.
      * @param attempts The number of earlier attempts.
      * @param route The request's route.
      * @return The decision.
      */
-    Decision decide(List<TargetLoad> open, int attempts, Route route) {
+    Decision decide(List<TargetLoad> available, int attempts, Route route) {
         long now = core.now();
         ShareUse use = shareUse();
         tier = use.tier();
-        List<TargetLoad> allowed = allowed(open);
-        Optional<EngineChoice> choice = choose(open, allowed, now).or(() -> chooseIdle(open, now));
+        List<TargetLoad> allowed = allowed(available);
+        Optional<EngineChoice> choice =
+                choose(available, allowed, now).or(() -> chooseIdle(available, now));
         if (choice.isPresent()) {
             return new Decision(choice, Optional.empty(), use);
         }
         if (attempts > 0) {
-            return new Decision(chooseLeastLoaded(open, now), Optional.empty(), use);
+            return new Decision(chooseLeastLoaded(available, now), Optional.empty(), use);
         }
         if (tier == ShareTier.BEYOND || allowed.isEmpty()) {
             return new Decision(choice, Optional.of(ErrorKind.RATE_EXCEEDED), use);
         }
-        if (now - demand.arrivedMillis() >= MAX_WAIT_PART * route.objectiveMillis()) {
+        if (now - demand.arrivedMillis() >= MAX_WAIT_FRACTION * route.objectiveMillis()) {
             return new Decision(choice, Optional.of(ErrorKind.WAIT_TOO_LONG), use);
         }
         return new Decision(choice, Optional.empty(), use);
@@ -122,67 +123,69 @@
     /**
      * Returns the engines that the request may use.
      *
-     * @param open The engines that accept requests.
+     * @param available The engines that accept requests.
      * @return All engines for a request within its promised share, else the unreserved ones.
      */
-    private List<TargetLoad> allowed(List<TargetLoad> open) {
+    private List<TargetLoad> allowed(List<TargetLoad> available) {
         return tier == ShareTier.PROMISED
-                ? open
-                : core.reserve().unreserved(open, core.tokensWithinShares());
+                ? available
+                : core.reserve().unreserved(available, core.tokensWithinShares());
     }
 
     /**
      * Chooses an idle engine, even a reserved one, for a request within its observed share. Each
-     * gateway sizes the reserve by its own prompts; without this, one with long prompts would
-     * reserve all engines and refuse such a request although engines are idle.
+     * gateway sizes the reserve by its own prompts, so one with long prompts may reserve all
+     * engines and would otherwise refuse such a request although engines are idle.
      *
-     * @param open The engines that accept requests.
-     * @param now The present time, in milliseconds.
+     * @param available The engines that accept requests.
+     * @param now The current time, in milliseconds.
      * @return The choice, or empty if no engine is idle or the request exceeds that share too.
      */
-    private Optional<EngineChoice> chooseIdle(List<TargetLoad> open, long now) {
+    private Optional<EngineChoice> chooseIdle(List<TargetLoad> available, long now) {
         if (tier != ShareTier.OBSERVED) {
             return Optional.empty();
         }
         return choose(
-                open, open.stream().filter(each -> each.all(now).requests() == 0).toList(), now);
+                available,
+                available.stream().filter(each -> each.totalLoad(now).requests() == 0).toList(),
+                now);
     }
 
     /**
      * Chooses an engine with capacity.
      *
-     * @param open The engines that accept requests.
+     * @param available The engines that accept requests.
      * @param allowed The engines that the request may use.
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      * @return The choice, or empty if no engine has capacity.
      */
     private Optional<EngineChoice> choose(
-            List<TargetLoad> open, List<TargetLoad> allowed, long now) {
+            List<TargetLoad> available, List<TargetLoad> allowed, long now) {
         PrefillRate rate = core.targets().rate(service);
-        EngineChooser chooser = core.engines();
+        EngineChooser chooser = core.engineChooser();
         List<TargetLoad> candidates =
-                chooser.withCapacity(demand, tier, allowed, engine, rate, now);
+                chooser.withCapacity(demand, tier, allowed, capacity, rate, now);
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
         PromptCacheLookup cacheLookup =
-                PromptCacheLookup.of(demand.chain(), allowed, copySources(open, allowed));
-        double unreportedWork = core.unreportedWork().perTarget(open.size(), now);
+                PromptCacheLookup.of(demand.chain(), allowed, copySources(available, allowed));
+        double unreportedWork = core.unreportedWork().perTarget(available.size(), now);
         return chooser.choose(
-                demand, tier, candidates, cacheLookup, engine, rate, unreportedWork, now);
+                demand, tier, candidates, cacheLookup, capacity, rate, unreportedWork, now);
     }
 
     /**
      * Returns the engines that can't serve the request but may supply cached parts of its prompt.
      *
-     * @param open The engines that accept requests.
+     * @param available The engines that accept requests.
      * @param allowed The engines that the request may use.
      * @return The engines that the request may not use and those that are draining.
      */
-    private List<TargetLoad> copySources(List<TargetLoad> open, List<TargetLoad> allowed) {
+    private List<TargetLoad> copySources(List<TargetLoad> available, List<TargetLoad> allowed) {
         List<TargetLoad> sources = new ArrayList<>(core.targets().draining(service));
-        if (allowed.size() < open.size()) {
-            open.stream().filter(each -> !allowed.contains(each)).forEach(sources::add);
+        if (allowed.size() < available.size()) {
+            available.stream().filter(each -> !allowed.contains(each)).forEach(sources::add);
         }
         return sources;
     }
@@ -201,7 +204,7 @@
         }
         double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
         core.unreportedWork()
-                .sent(EngineChooser.workMillis(promptMillis, engine.slots()), core.now());
+                .sent(EngineChooser.workMillis(promptMillis, capacity.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
             core.reserve().sent(promptMillis, demand.cost());
         }
@@ -234,8 +237,8 @@
     }
 
     /**
-     * Records that the first event of the response arrived, which confirms the prefill and measures
-     * its rate.
+     * Records that the first event of the response arrived. This confirms the assumed cache entries
+     * and is a sample of the prefill rate.
      *
      * @param running The request as it runs at its engine.
      */
@@ -253,7 +256,7 @@
     RunningRequest running(EngineChoice choice) {
         return new RunningRequest(
                 choice.prefillTokens(),
-                demand.ownTokens() + demand.answerTokens(),
+                demand.ownTokens() + demand.responseTokens(),
                 core.now(),
                 choice.backlogMillis());
     }
@@ -267,24 +270,26 @@
         return demand.organisation();
     }
 
-    private Optional<EngineChoice> chooseLeastLoaded(List<TargetLoad> open, long now) {
-        return core.services().choose(open, now).map(load -> choiceWithoutCapacity(load, open));
+    private Optional<EngineChoice> chooseLeastLoaded(List<TargetLoad> available, long now) {
+        return core.serviceChooser()
+                .choose(available, now)
+                .map(load -> choiceWithoutCapacity(load, available));
     }
 
     /**
      * Builds the choice of an engine that has no capacity.
      *
      * @param load The engine.
-     * @param open The engines that accept requests.
+     * @param available The engines that accept requests.
      * @return The choice, with an unlimited backlog.
      */
-    private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> open) {
+    private EngineChoice choiceWithoutCapacity(TargetLoad load, List<TargetLoad> available) {
         PromptCacheLookup cacheLookup =
-                PromptCacheLookup.of(demand.chain(), open, core.targets().draining(service));
+                PromptCacheLookup.of(demand.chain(), available, core.targets().draining(service));
         Optional<TargetLoad> source =
-                engine.canCopyCache() ? cacheLookup.source(load) : Optional.empty();
+                capacity.canCopyCache() ? cacheLookup.copySource(load) : Optional.empty();
         long cachedTokens =
-                source.isPresent() ? cacheLookup.most() : cacheLookup.cachedTokens(load);
+                source.isPresent() ? cacheLookup.maxCachedTokens() : cacheLookup.cachedTokens(load);
         return new EngineChoice(
                 load, demand.promptTokens() - cachedTokens, Double.MAX_VALUE, source);
     }
--- a/src/main/java/org/martenwell/gateway/ForwardMetadata.java
+++ b/src/main/java/org/martenwell/gateway/ForwardMetadata.java
@@ -7,11 +7,11 @@
  * Values that a gateway adds to the headers of a request when it forwards it to a target.
  *
  * @param target The id of the target that the request is meant for.
- * @param leftMillis The time until the caller's timeout, in milliseconds, or empty if the caller
- *     stated none.
+ * @param leftMillis The time until the request times out, in milliseconds, or empty if the caller
+ *     stated no timeout.
  * @param organisation The caller's organisation, or empty on an anonymous route.
  * @param lastEventId The id of the last event that the caller received, if a stream is resumed.
- * @param copyFrom The address of a target to copy cached prompt parts from, or empty.
+ * @param copyFrom The address of the engine to copy cached prompt parts from, or empty.
  */
 public record ForwardMetadata(
         String target,
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -26,7 +26,7 @@
 /** The state that all requests of a gateway share. */
 final class GatewayCore {
 
-    /** The divisor of an engine's memory that gives the least size of its prompt cache. */
+    /** The fraction of an engine's KV cache that always counts as prompt cache, as a divisor. */
     private static final int MIN_CACHE_DIVISOR = 5;
 
     /** The most changes of prompt caches that are queued for the next report to peers. */
@@ -45,20 +45,20 @@
     /** The length of the fair-share window, in milliseconds. */
     private final long shareWindowMillis;
 
-    /** Selects an engine for each generation request. */
-    private final EngineChooser engines;
+    /** Chooses an engine for each model request. */
+    private final EngineChooser engineChooser;
 
-    /** Estimates the load that peers put on engines since their last reports. */
+    /** Estimates the work that peers have sent to engines since their last reports. */
     private final UnreportedWork unreportedWork = new UnreportedWork();
 
     /** Reserves engines for requests within fair shares. */
     private final EngineReserve reserve = new EngineReserve();
 
-    /** Selects a target for each request to a plain service. */
-    private final ServiceChooser services;
+    /** Chooses a target for each request to a plain service. */
+    private final ServiceChooser serviceChooser;
 
     /** Limits retries to a fraction of the fleet's requests. */
-    private final FleetRetryBudget retries;
+    private final FleetRetryBudget retryBudget;
 
     /** Randomizes balancing, retry and refusal decisions. */
     private final Random random;
@@ -78,7 +78,7 @@
 
     private final SharedKeys sharedKeys = new SharedKeys();
 
-    /** Computes the fingerprints by which gateways recognize identical requests. */
+    /** Computes the fingerprints by which gateways recognise identical requests. */
     private final FingerprintFunction fingerprints;
 
     private final HarmfulRequests harmful;
@@ -124,9 +124,9 @@
         this.shareWindowMillis = settings.shareWindowMillis();
         this.shares = new FairShares(shareWindowMillis);
         this.fingerprints = new FingerprintFunction(settings.peerKey());
-        this.engines = new EngineChooser(settings.failureDomain(), random);
-        this.services = new ServiceChooser(settings.failureDomain());
-        this.retries =
+        this.engineChooser = new EngineChooser(settings.failureDomain(), random);
+        this.serviceChooser = new ServiceChooser(settings.failureDomain());
+        this.retryBudget =
                 new FleetRetryBudget(
                         settings.retryShare(),
                         settings.retryAllowance(),
@@ -206,12 +206,14 @@
         return configuration().map(GatewayConfiguration::tokensPerSecond).orElse(0L);
     }
 
-    /** {@return the selector of engines} */
-    EngineChooser engines() {
-        return engines;
+    /** {@return the chooser of engines} */
+    EngineChooser engineChooser() {
+        return engineChooser;
     }
 
-    /** {@return the estimate of the load that peers put on engines since their last reports} */
+    /**
+     * {@return the estimate of the work that peers have sent to engines since their last reports}
+     */
     UnreportedWork unreportedWork() {
         return unreportedWork;
     }
@@ -229,9 +231,9 @@
         return promisedTokens() * shares.promisedDemand() / MILLIS_PER_SECOND;
     }
 
-    /** {@return the selector of targets of plain services} */
-    ServiceChooser services() {
-        return services;
+    /** {@return the chooser of targets of plain services} */
+    ServiceChooser serviceChooser() {
+        return serviceChooser;
     }
 
     /** {@return the queue of requests that wait for an engine} */
@@ -261,7 +263,7 @@
 
     /** Counts a first attempt, which adds to the retry budget. */
     void countFirstAttempt() {
-        retries.countFirstAttempt(now());
+        retryBudget.countFirstAttempt(now());
     }
 
     /**
@@ -270,18 +272,18 @@
      * @return {@code true} if the retry is allowed.
      */
     boolean takeRetry() {
-        return retries.takeRetry(members, now());
+        return retryBudget.takeRetry(members, now());
     }
 
     /**
      * Updates the size of the fleet, on which the retry budget and the load estimates depend.
      *
      * @param count The number of gateways, including this one.
-     * @param ageMillis The mean age of what is known of peers, in milliseconds.
+     * @param ageMillis The mean age of the peers' reports, in milliseconds.
      */
     void updateFleet(int count, double ageMillis) {
         members = count;
-        unreportedWork.fleet(count - 1, ageMillis);
+        unreportedWork.updateFleet(count - 1, ageMillis);
     }
 
     /** {@return the number of gateways in the fleet, including this one} */
@@ -307,8 +309,8 @@
     }
 
     /**
-     * Queues a change of a target's prompt cache for the next report to peers. Dropped if the queue
-     * is full.
+     * Queues a change of a target's prompt cache for the next report to peers. Discarded if the
+     * queue is full.
      *
      * @param part The part that is cached or no longer cached.
      */
@@ -319,7 +321,7 @@
     }
 
     /**
-     * Returns the capacity of an engine's prompt cache, next to the requests that it runs.
+     * Returns the capacity of an engine's prompt cache beside the requests that it runs.
      *
      * @param load The target.
      * @return The capacity in tokens, 0 for a target of a plain service.
@@ -333,15 +335,15 @@
     }
 
     /**
-     * Returns the capacity of an engine's prompt cache: the memory that running requests leave
-     * free, but at least a fixed fraction of all.
+     * Returns the capacity of an engine's prompt cache: the part of its KV cache that running
+     * requests leave free, but at least a fixed fraction.
      *
-     * @param engine The engine's configured limits.
+     * @param engine The engine's configured capacity.
      * @param load The engine.
      * @return The capacity in tokens.
      */
     private long promptCacheCapacity(EngineCapacity engine, TargetLoad load) {
-        long free = engine.memoryTokens() - load.all(now()).memoryTokens();
+        long free = engine.memoryTokens() - load.totalLoad(now()).memoryTokens();
         return Math.max(engine.memoryTokens() / MIN_CACHE_DIVISOR, free);
     }
 
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -159,7 +159,7 @@
      * Shuts down gracefully: fails the readiness check, waits for the load balancer to notice, lets
      * requests in progress finish, and closes idle connections.
      *
-     * @return Completes when no request is in progress or the time is up.
+     * @return Completes when no request is in progress or the deadline has passed.
      */
     public Promise<Void> drain() {
         stopping = true;
@@ -173,7 +173,7 @@
     }
 
     /**
-     * Completes a shutdown that is finished or out of time; otherwise checks again later.
+     * Completes a shutdown that is finished or has timed out; otherwise checks again later.
      *
      * @param startMillis The time at which the shutdown began, in milliseconds.
      * @param done Completed when the shutdown ends.
@@ -234,7 +234,7 @@
 
     @Override
     public void heldRequests(Map<Fingerprint, HeldRequest> requests) {
-        core.harmful().stored(requests);
+        core.harmful().applyStored(requests);
     }
 
     /**
--- a/src/main/java/org/martenwell/gateway/GatewayLog.java
+++ b/src/main/java/org/martenwell/gateway/GatewayLog.java
@@ -58,7 +58,7 @@
      * @param route The name of the route or an empty string.
      * @param organisation The caller's organisation or an empty string.
      * @param attempts The number of attempts.
-     * @param heldMillis The time since the request arrived, in milliseconds.
+     * @param elapsedMillis The time since the request arrived, in milliseconds.
      */
     void failed(
             String request,
@@ -66,7 +66,7 @@
             String route,
             String organisation,
             int attempts,
-            long heldMillis) {
+            long elapsedMillis) {
         metrics.counter("requests_failed_" + kind.code()).inc();
         if (mayWrite()) {
             write(
@@ -76,7 +76,7 @@
                             .with("route", route)
                             .with("organisation", organisation)
                             .with("attempts", attempts)
-                            .with("heldMillis", heldMillis));
+                            .with("heldMillis", elapsedMillis));
         }
     }
 
@@ -132,9 +132,9 @@
      * @param request The id that the caller gave to the attempt.
      * @param status The HTTP status code.
      * @param attempts The number of attempts.
-     * @param heldMillis The time since the request arrived, in milliseconds.
+     * @param elapsedMillis The time since the request arrived, in milliseconds.
      */
-    void ended(String request, int status, int attempts, long heldMillis) {
+    void ended(String request, int status, int attempts, long elapsedMillis) {
         metrics.counter("requests_answered").inc();
         if (mayWrite()) {
             write(
@@ -142,7 +142,7 @@
                             .with("request", request)
                             .with("status", status)
                             .with("attempts", attempts)
-                            .with("heldMillis", heldMillis));
+                            .with("heldMillis", elapsedMillis));
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Records an attempt of which the target ran nothing, or whose target was silent.
+     * Records an attempt that the target didn't run, or whose target was silent.
      *
      * @param request The id that the caller gave to the attempt.
      * @param target The target's id.
@@ -198,7 +198,7 @@
      * Records that a target is draining.
      *
      * @param incarnation The target's incarnation.
-     * @param source The source that reported it first.
+     * @param source The first source of the notice.
      */
     void draining(String incarnation, NoticeSource source) {
         String from = source.name().toLowerCase(Locale.ROOT);
@@ -225,11 +225,11 @@
     }
 
     /**
-     * Records that a target crashed while a request was in progress there.
+     * Records that a target crashed while running a request.
      *
      * @param suspect The request.
      * @param incarnation The target's incarnation.
-     * @param crashes The number of targets that are known to have crashed under the request.
+     * @param crashes The number of targets that crashed while running the request.
      */
     void suspected(SuspectRequest suspect, String incarnation, int crashes) {
         metrics.counter("requests_suspected").inc();
@@ -303,7 +303,7 @@
         LOGGER.info(LogEvent.of(event).with("detail", detail).message());
     }
 
-    /** Tells whether a rate-limited line may be written, and counts it if not. */
+    /** Returns whether a rate-limited line may be written, and counts it if not. */
     private boolean mayWrite() {
         if (!LOGGER.isInfoEnabled()) {
             return false;
--- a/src/main/java/org/martenwell/gateway/GenerationMetadata.java
+++ b/src/main/java/org/martenwell/gateway/GenerationMetadata.java
@@ -8,8 +8,8 @@
  *
  * @param model The name of the model.
  * @param promptTokens The size of the prompt, in tokens.
- * @param answerTokens The expected size of the response, in tokens.
+ * @param responseTokens The expected size of the response, in tokens.
  * @param parts The parts of the prompt, in order.
  */
 public record GenerationMetadata(
-        String model, long promptTokens, long answerTokens, List<PromptPart> parts) {}
+        String model, long promptTokens, long responseTokens, List<PromptPart> parts) {}
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -29,8 +29,9 @@
     private static final int MAX_SUMMARIES = 1_024;
 
     /**
-     * The average interval at which some gateway of the fleet repeats all quarantined requests to
-     * its peers, in milliseconds. It bounds the time until a gateway that missed an update gets it.
+     * The average interval at which any one gateway of the fleet sends all quarantined requests to
+     * its peers again, in milliseconds. A gateway that missed an update receives it about this much
+     * later.
      */
     private static final long FLEET_REPEAT_MILLIS = 1_000;
 
@@ -124,7 +125,7 @@
     }
 
     /**
-     * Tells whether a request must not be sent.
+     * Returns the error with which a request is refused.
      *
      * @param identity The request's identity.
      * @return The error to respond with, or empty if the request may be sent.
@@ -141,14 +142,14 @@
      *
      * @param target The target.
      * @param identity The request's identity.
-     * @param verdict The callback that runs once it is known whether the target crashed, or after a
-     *     timeout.
+     * @param afterProbe The callback that runs once a probe has shown whether the target crashed,
+     *     or after a timeout.
      */
-    void attemptFailed(KnownTarget target, RequestIdentity identity, Runnable verdict) {
+    void attemptFailed(KnownTarget target, RequestIdentity identity, Runnable afterProbe) {
         if (target.load().availability().isDraining() || target.connections().closed()) {
-            verdict.run();
+            afterProbe.run();
         } else {
-            crashDetector.attemptFailed(target, identity.suspect(), verdict);
+            crashDetector.attemptFailed(target, identity.suspect(), afterProbe);
         }
     }
 
@@ -195,7 +196,7 @@
      *
      * @param updates The updates.
      */
-    void heard(List<QuarantineUpdate> updates) {
+    void applyUpdates(List<QuarantineUpdate> updates) {
         for (QuarantineUpdate each : updates) {
             if (quarantine.applyUpdate(each, reactor.currentTimeMillis())) {
                 quarantined(each.fingerprint(), "peer");
@@ -209,7 +210,7 @@
      *
      * @param entries All quarantined requests in the directory.
      */
-    void stored(Map<Fingerprint, HeldRequest> entries) {
+    void applyStored(Map<Fingerprint, HeldRequest> entries) {
         long now = reactor.currentTimeMillis();
         for (Fingerprint each : stored) {
             if (!entries.containsKey(each)) {
@@ -229,7 +230,7 @@
      * Returns the updates that are due for peers, after deciding on the suspected requests.
      *
      * @param members The number of gateways in the fleet.
-     * @return The updates since the last call, from time to time with all quarantined requests.
+     * @return The updates that are due; periodically also all quarantined requests.
      */
     List<QuarantineUpdate> takeUpdates(int members) {
         long now = reactor.currentTimeMillis();
@@ -244,11 +245,11 @@
     }
 
     /**
-     * Returns the complete state of the quarantine for a peer that has none.
+     * Returns the state of the quarantine for a newly connected peer.
      *
      * @return The updates.
      */
-    List<QuarantineUpdate> all() {
+    List<QuarantineUpdate> snapshot() {
         return quarantine.snapshot();
     }
 
@@ -265,8 +266,8 @@
     }
 
     /**
-     * Cancels requests in progress that are quarantined from now on, and stores the entry in the
-     * directory.
+     * Cancels the requests in progress that have a newly quarantined fingerprint, and stores an
+     * entry in the directory.
      *
      * @param fingerprint The request's fingerprint.
      * @param source The origin of the decision, for the log.
--- a/src/main/java/org/martenwell/gateway/HeapMonitor.java
+++ b/src/main/java/org/martenwell/gateway/HeapMonitor.java
@@ -30,7 +30,7 @@
 
     /**
      * The occupancy of the old generation from which requests are refused, from 0 to 1. The rest is
-     * left to requests in progress.
+     * reserved for requests in progress.
      */
     private static final double MAX_OCCUPANCY = 0.85;
 
--- a/src/main/java/org/martenwell/gateway/LivePeers.java
+++ b/src/main/java/org/martenwell/gateway/LivePeers.java
@@ -13,7 +13,7 @@
     private final String self;
 
     /** The time of the last report by peer, in milliseconds. */
-    private final Map<String, Long> lastHeardMillis = new HashMap<>();
+    private final Map<String, Long> lastReportMillis = new HashMap<>();
 
     /**
      * Creates a tracker without live peers.
@@ -30,8 +30,8 @@
      * @param peer The peer's name.
      * @param now The current time, in milliseconds.
      */
-    void heard(String peer, long now) {
-        lastHeardMillis.put(peer, now);
+    void recordReport(String peer, long now) {
+        lastReportMillis.put(peer, now);
     }
 
     /**
@@ -42,7 +42,8 @@
      * @return {@code true} if it did.
      */
     boolean isLive(String peer, long now) {
-        return lastHeardMillis.containsKey(peer) && now - lastHeardMillis.get(peer) <= LIVE_MILLIS;
+        return lastReportMillis.containsKey(peer)
+                && now - lastReportMillis.get(peer) <= LIVE_MILLIS;
     }
 
     /**
@@ -55,9 +56,9 @@
      * @return {@code true} if it is.
      */
     boolean owns(String target, long now) {
-        lastHeardMillis.values().removeIf(millis -> now - millis > LIVE_MILLIS);
+        lastReportMillis.values().removeIf(millis -> now - millis > LIVE_MILLIS);
         long own = RendezvousHash.score(self, target);
-        return lastHeardMillis.keySet().stream()
+        return lastReportMillis.keySet().stream()
                 .allMatch(each -> RendezvousHash.score(each, target) <= own);
     }
 }
--- a/src/main/java/org/martenwell/gateway/LogRateLimiter.java
+++ b/src/main/java/org/martenwell/gateway/LogRateLimiter.java
@@ -24,7 +24,7 @@
     /**
      * Acquires permission to write a line. A line that is denied counts as suppressed.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      * @return {@code true} if the line may be written.
      */
     boolean tryAcquire(long now) {
--- a/src/main/java/org/martenwell/gateway/LoopLagLimiter.java
+++ b/src/main/java/org/martenwell/gateway/LoopLagLimiter.java
@@ -6,10 +6,10 @@
 import org.martenwell.service.ManagedService;
 
 /**
- * Refuses a fraction of new requests while the event loop lags. Without it, a small box that many
- * callers are connected to accepts more than it has processor time for and serves every request
- * late; refused callers retry at other gateways. The fraction grows with the lag, so it settles
- * where the box keeps up.
+ * Refuses a fraction of new requests while the event loop lags. Without it, a small box with many
+ * callers accepts more requests than it has processor time for and serves all of them late. Refused
+ * callers retry at other gateways. The fraction grows with the lag, so it settles where the box
+ * keeps up.
  */
 final class LoopLagLimiter implements ManagedService {
 
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -60,8 +60,8 @@
     /** Tracks the peers that reported recently. */
     private final LivePeers livePeers;
 
-    /** Detects gateways that ended without leaving the directory. */
-    private final DeadMemberDetector deadMembers = new DeadMemberDetector();
+    /** Detects gateways that terminated without removing their directory entry. */
+    private final DeadMemberDetector deadMemberDetector = new DeadMemberDetector();
 
     private final ReportBuilder reportBuilder;
 
@@ -192,8 +192,8 @@
 
     /**
      * Returns whether this gateway sends the contents of prompt caches to a peer that has just
-     * connected. In a mesh, where all gateways know nearly all of it, a few do, chosen by hash; a
-     * relay does if the peer has not reported recently.
+     * connected. In a mesh all gateways know nearly the same contents, so a few of them, chosen by
+     * hash, send them. A relay sends them if the peer has not reported recently.
      *
      * @param peer The peer's name.
      * @return {@code true} if it does.
@@ -212,7 +212,7 @@
     }
 
     /**
-     * Processes a report that arrived from the gateway that made it.
+     * Processes a report that arrived directly from its gateway.
      *
      * @param report The report.
      */
@@ -232,7 +232,7 @@
      */
     private void receiveBatch(ReportBatch batch) {
         long now = core.now();
-        topology.heard(batch.relay(), now);
+        topology.recordRelay(batch.relay(), now);
         if (topology.isRelay(now) && topology.inOtherDomain(batch.relay())) {
             relayedReports.add(batch);
         }
@@ -252,7 +252,7 @@
     private void receiveReport(GatewayReport report) {
         long now = core.now();
         String peer = report.gateway();
-        livePeers.heard(peer, now);
+        livePeers.recordReport(peer, now);
         if (unlisted.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
             directory.refreshMembers();
         }
@@ -304,8 +304,8 @@
     /** Sends this gateway's report to its peers or its relay. */
     private void sendReport() {
         connect();
-        // Not read for each draining target that a peer reports: the directory usually delivers the
-        // change itself soon after.
+        // Doesn't refresh for each draining target that a peer reports, since the directory usually
+        // delivers the change soon after.
         if (core.targets().detectStaleDirectory(core.now())) {
             directory.refresh();
         }
@@ -347,12 +347,12 @@
         }
     }
 
-    /** Removes gateways from the directory that ended without leaving it. */
+    /** Removes the directory entries of dead gateways. */
     private void removeDeadMembers() {
         if (stopped) {
             return;
         }
-        for (String each : deadMembers.findDead(addresses.keySet(), livePeers, core.now())) {
+        for (String each : deadMemberDetector.findDead(addresses.keySet(), livePeers, core.now())) {
             core.log().changed("member-gone", each);
             directory.removeMember(each);
         }
--- a/src/main/java/org/martenwell/gateway/RelaySelector.java
+++ b/src/main/java/org/martenwell/gateway/RelaySelector.java
@@ -9,7 +9,7 @@
 
 /**
  * Selects the relay of a failure domain: the first candidate that is not suspected to be down. A
- * candidate that was selected and then stays silent is suspected until it is heard again.
+ * candidate that was selected and then sends no reports as a relay is suspected until it does.
  */
 final class RelaySelector {
 
@@ -22,8 +22,8 @@
     /** The candidates that are suspected to be down. */
     private final Set<String> suspected = new HashSet<>();
 
-    /** The time at which a candidate was last heard as a relay, in milliseconds. */
-    private final Map<String, Long> lastHeard = new HashMap<>();
+    /** The time at which each candidate last acted as a relay, in milliseconds. */
+    private final Map<String, Long> lastRelayedMillis = new HashMap<>();
 
     /** The selected candidate, empty if there is none. */
     private String chosen = "";
@@ -42,7 +42,7 @@
     void candidates(List<String> sorted) {
         candidates = List.copyOf(sorted);
         suspected.retainAll(candidates);
-        lastHeard.keySet().retainAll(candidates);
+        lastRelayedMillis.keySet().retainAll(candidates);
     }
 
     /** {@return the candidates, the best first} */
@@ -56,9 +56,9 @@
      * @param relay The candidate's name.
      * @param now The current time, in milliseconds.
      */
-    void heard(String relay, long now) {
+    void recordRelay(String relay, long now) {
         if (candidates.contains(relay)) {
-            lastHeard.put(relay, now);
+            lastRelayedMillis.put(relay, now);
             suspected.remove(relay);
         }
     }
@@ -80,7 +80,7 @@
                 chosenMillis = now;
             }
             long lastSeenMillis =
-                    Math.max(chosenMillis, lastHeard.getOrDefault(each, chosenMillis));
+                    Math.max(chosenMillis, lastRelayedMillis.getOrDefault(each, chosenMillis));
             if (each.equals(self) || now - lastSeenMillis <= SUSPECT_AFTER_MILLIS) {
                 return Optional.of(each);
             }
--- a/src/main/java/org/martenwell/gateway/RelayedReports.java
+++ b/src/main/java/org/martenwell/gateway/RelayedReports.java
@@ -7,12 +7,12 @@
 import org.martenwell.peer.ReportBatches;
 
 /**
- * The reports that a relay forwards with its next report. A batch is forwarded by one relay at
- * most.
+ * The reports that a relay forwards with its next report. A batch from another failure domain is
+ * forwarded at most once.
  */
 final class RelayedReports {
 
-    /** The most batches from other failure domains that are kept until the next report. */
+    /** The most batches from other failure domains that are retained until the next report. */
     private static final int MAX_BATCHES = 64;
 
     private final String self;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Adds a report that arrived from the gateway that made it.
+     * Adds a report that arrived directly from its gateway.
      *
      * @param report The report.
      */
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -67,7 +67,7 @@
      * @return The report.
      */
     GatewayReport full() {
-        return build(cached(), core.shares().own(core.now()), core.harmful().all());
+        return build(cacheContents(), core.shares().own(core.now()), core.harmful().snapshot());
     }
 
     /**
@@ -76,32 +76,34 @@
      * @return The report.
      */
     GatewayReport withoutCachedParts() {
-        return build(List.of(), core.shares().own(core.now()), core.harmful().all());
+        return build(List.of(), core.shares().own(core.now()), core.harmful().snapshot());
     }
 
     /**
      * Builds a report.
      *
-     * @param placed The changes or contents of prompt caches.
+     * @param cacheUpdates The changes or the full contents of prompt caches.
      * @param shares The use of fair shares, or {@link ShareCounts#NONE} to leave it out.
      * @param quarantine The updates on requests that crash targets.
      * @return The report.
      */
     private GatewayReport build(
-            List<CachedPartUpdate> placed, ShareCounts shares, List<QuarantineUpdate> quarantine) {
+            List<CachedPartUpdate> cacheUpdates,
+            ShareCounts shares,
+            List<QuarantineUpdate> quarantine) {
         return new GatewayReport(
                 name,
                 incarnation,
                 core.version(),
                 loads(),
                 shares,
-                placed,
+                cacheUpdates,
                 core.targets().draining(),
                 quarantine);
     }
 
     /** {@return all known contents of prompt caches} */
-    private List<CachedPartUpdate> cached() {
+    private List<CachedPartUpdate> cacheContents() {
         List<CachedPartUpdate> cached = new ArrayList<>();
         for (KnownTarget each : core.targets().all()) {
             String target = each.load().target().incarnation();
--- a/src/main/java/org/martenwell/gateway/ReportReceiver.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -38,12 +38,12 @@
     void apply(GatewayReport report) {
         updateLoads(report);
         if (!report.shares().isEmpty()) {
-            core.shares().peer(report.gateway(), report.shares(), core.now());
+            core.shares().applyPeerReport(report.gateway(), report.shares(), core.now());
         }
         report.placed().forEach(this::updateCachedPart);
-        core.harmful().heard(report.quarantine());
+        core.harmful().applyUpdates(report.quarantine());
         for (String incarnation : report.leaving()) {
-            core.targets().markLeavingByPeer(incarnation, core.now());
+            core.targets().markDrainingByPeer(incarnation, core.now());
         }
     }
 
@@ -76,7 +76,7 @@
     private void updateLoad(String peer, String target, LoadSums sums) {
         core.targets()
                 .findByIncarnation(target)
-                .ifPresent(known -> known.load().peer(peer, sums, core.now()));
+                .ifPresent(known -> known.load().applyPeerReport(peer, sums, core.now()));
     }
 
     /**
@@ -98,7 +98,7 @@
      */
     private void updateCachedPart(TargetLoad load, CachedPartUpdate part) {
         if (part.tokens() > 0) {
-            core.sharedKeys().seen(part.key());
+            core.sharedKeys().add(part.key());
             load.promptCache().put(part.key(), part.tokens(), core.promptCacheCapacity(load));
         } else {
             load.promptCache().evict(part.key());
--- a/src/main/java/org/martenwell/gateway/ReportTopology.java
+++ b/src/main/java/org/martenwell/gateway/ReportTopology.java
@@ -13,8 +13,9 @@
 /**
  * The routes of reports between gateways. A small fleet is a full mesh. In a large one, the
  * gateways of each failure domain report to one of them, the relay, which forwards their reports to
- * the gateways of its domain and to the relays of the other domains. Relays are chosen without an
- * election; a domain may have two for a moment, which is harmless because reports are idempotent.
+ * the gateways of its domain and to the relays of the other domains. Each gateway selects the
+ * relays by itself, without an election. A domain may have two relays for a moment, which is
+ * harmless because reports are idempotent.
  */
 final class ReportTopology {
 
@@ -34,8 +35,8 @@
     private static final double MESH_AGE_INTERVALS = 0.5;
 
     /**
-     * The mean age of a relayed report, in report intervals: half an interval each at its gateway
-     * and at two relays.
+     * The mean age of a relayed report, in report intervals: it waits half an interval at its
+     * gateway and at each of two relays.
      */
     private static final double RELAYED_AGE_INTERVALS = 1.5;
 
@@ -49,7 +50,7 @@
 
     private final String domain;
 
-    /** The choice of the relay by failure domain. */
+    /** The selector of the relay of each failure domain. */
     private final Map<String, RelaySelector> relays = new TreeMap<>();
 
     private int size;
@@ -90,8 +91,8 @@
      * @param relay The gateway's name.
      * @param now The current time, in milliseconds.
      */
-    void heard(String relay, long now) {
-        relays.values().forEach(each -> each.heard(relay, now));
+    void recordRelay(String relay, long now) {
+        relays.values().forEach(each -> each.recordRelay(relay, now));
     }
 
     /**
@@ -118,7 +119,7 @@
                 : MESH_INTERVAL_MILLIS;
     }
 
-    /** {@return the mean age of what is known of peers, in milliseconds} */
+    /** {@return the mean age of the peers' reports, in milliseconds} */
     double ageMillis() {
         return intervalMillis() * (relayed() ? RELAYED_AGE_INTERVALS : MESH_AGE_INTERVALS);
     }
--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -10,7 +10,7 @@
 
 /**
  * Translation between the gateway and the headers and documents that a deployment's callers and
- * targets use. Implementations only read and write; all decisions are the gateway's.
+ * targets use. Implementations only parse and build messages; the gateway makes all decisions.
  */
 public interface RequestDialect {
 
@@ -48,7 +48,7 @@
     HttpHeaders localResponse(RequestMetadata metadata);
 
     /**
-     * Tells whether a response belongs to a request.
+     * Returns whether a response belongs to a request.
      *
      * @param response The response's head.
      * @param metadata The metadata of the caller's request.
@@ -57,7 +57,7 @@
     boolean belongs(HttpResponse response, RequestMetadata metadata);
 
     /**
-     * Tells whether a response states that the request was not run.
+     * Returns whether a target reports that it did not run the request.
      *
      * @param response The response's head.
      * @return {@code true} if the target did not run the request.
@@ -68,7 +68,7 @@
      * Reads a target's availability from a response.
      *
      * @param response The response's head.
-     * @param dayMillis The wall-clock time, in milliseconds since the epoch.
+     * @param dayMillis The wall-clock time, in milliseconds since the Unix epoch.
      * @return The target's availability.
      */
     AvailabilityNotice notice(HttpResponse response, long dayMillis);
@@ -107,7 +107,7 @@
     CachedPartChanges parseCacheChanges(Body body);
 
     /**
-     * Tells whether a response was produced by a target rather than corrupted in transit.
+     * Returns whether a response was produced by a target rather than corrupted in transit.
      *
      * @param response The response's head.
      * @return {@code true} if the response carries the header that every target sets.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -26,8 +26,8 @@
 
 /**
  * Dispatch of one request: it selects the route, waits for capacity, sends the request, retries it
- * and responds to the caller. A status that promises that the request was not run is used only if
- * no target may have run it.
+ * and responds to the caller. The caller gets a status that promises that the request was not run
+ * only if no target can have run it.
  */
 final class RequestDispatch {
 
@@ -42,7 +42,9 @@
     /** The delay before a retry if there is no target or no capacity, in seconds. */
     private static final double RETRY_CAPACITY_SECONDS = 0.4;
 
-    /** The delay before a retry that should reach another gateway, in seconds. */
+    /**
+     * The delay before a retry that the load balancer should send to another gateway, in seconds.
+     */
     private static final double RETRY_ELSEWHERE_SECONDS = 0.05;
 
     /** The delay before a retry if the organisation exceeds its fair share, in seconds. */
@@ -85,8 +87,8 @@
     /** The routing to model engines, empty for a plain service. */
     private Optional<EngineRouting> engines = Optional.empty();
 
-    /** The watch on silent targets, or {@code null} until the route is selected. */
-    private StallDetector silence;
+    /** The detector of silent targets, or {@code null} until the route is selected. */
+    private StallDetector stallDetector;
 
     /** The time at which the request times out, in milliseconds. */
     private long deadlineMillis;
@@ -157,11 +159,11 @@
     /** Accepts a request whose route and organisation are known, and tries to send it. */
     private void accept(GatewayConfiguration configuration) {
         long timeout =
-                Math.min(route.timeoutMillis(), metadata.waitMillis().orElse(Long.MAX_VALUE));
+                Math.min(route.timeoutMillis(), metadata.timeoutMillis().orElse(Long.MAX_VALUE));
         deadlineMillis = arrivedMillis + timeout;
         exchange.onDisconnect(this::callerDisconnected);
         deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
-        silence = new StallDetector(core, route, this::targetSilent);
+        stallDetector = new StallDetector(core, route, this::targetSilent);
         identity =
                 new RequestIdentity(
                         core.fingerprints(), exchange.request(), route, organisation.orElse(""));
@@ -179,21 +181,21 @@
      * @return The routing, or empty if the service is plain or the caller stated no prompt.
      */
     private Optional<EngineRouting> engineRouting(GatewayConfiguration configuration) {
-        Optional<EngineCapacity> terms =
+        Optional<EngineCapacity> capacity =
                 configuration.service(service).flatMap(ServiceConfiguration::engine);
-        if (terms.isEmpty() || metadata.generation().isEmpty()) {
+        if (capacity.isEmpty() || metadata.generation().isEmpty()) {
             return Optional.empty();
         }
         GenerationMetadata generation = metadata.generation().get();
-        EngineDemand need =
+        EngineDemand demand =
                 new EngineDemand(
                         organisation.orElse(""),
                         PromptChain.of(generation.model(), generation.parts()),
                         generation.promptTokens(),
-                        generation.answerTokens(),
+                        generation.responseTokens(),
                         route.objectiveMillis(),
                         arrivedMillis);
-        return Optional.of(new EngineRouting(core, need, terms.get(), service));
+        return Optional.of(new EngineRouting(core, demand, capacity.get(), service));
     }
 
     /**
@@ -205,13 +207,13 @@
         return engines.map(EngineRouting::shareUse).orElse(ShareUse.NONE);
     }
 
-    /** Retries to send a request that waits in the queue. */
+    /** Tries again to send a request that waits in the queue. */
     void tryAgain() {
         trySend();
     }
 
     /**
-     * Tells whether a response belongs to the request.
+     * Returns whether a response belongs to the request.
      *
      * @param response The response's head.
      * @return {@code true} if the response belongs to the request.
@@ -228,23 +230,23 @@
             return;
         }
         long now = core.now();
-        List<TargetLoad> open = core.targets().open(service, history.triedTargets(), now);
-        if (open.isEmpty() && !history.triedTargets().isEmpty() && route.repeatable()) {
-            open = core.targets().open(service, Set.of(), now);
+        List<TargetLoad> available = core.targets().available(service, history.triedTargets(), now);
+        if (available.isEmpty() && !history.triedTargets().isEmpty() && route.repeatable()) {
+            available = core.targets().available(service, Set.of(), now);
         }
-        if (open.isEmpty()) {
+        if (available.isEmpty()) {
             fail(ErrorKind.NO_TARGET, noTargetRetrySeconds(now));
         } else if (engines.isEmpty()) {
-            core.services().choose(open, now).ifPresent(this::sendToPlainService);
+            core.serviceChooser().choose(available, now).ifPresent(this::sendToPlainService);
         } else {
-            sendToEngine(engines.get(), open);
+            sendToEngine(engines.get(), available);
         }
     }
 
     /**
      * Returns the delay before a retry if no target is available.
      *
-     * @param now The present time, in milliseconds.
+     * @param now The current time, in milliseconds.
      * @return The time until the first paused target resumes, in seconds, or the default delay if
      *     that is longer or no target is paused.
      */
@@ -259,10 +261,10 @@
      * Sends the request to an engine, queues it, or refuses it.
      *
      * @param routing The routing of the request.
-     * @param open The engines that accept requests.
+     * @param available The engines that accept requests.
      */
-    private void sendToEngine(EngineRouting routing, List<TargetLoad> open) {
-        EngineRouting.Decision decision = routing.decide(open, history.attempts(), route);
+    private void sendToEngine(EngineRouting routing, List<TargetLoad> available) {
+        EngineRouting.Decision decision = routing.decide(available, history.attempts(), route);
         core.queue().remove(this);
         if (decision.choice().isPresent()) {
             sendToChosenEngine(routing, decision.choice().get(), decision.use());
@@ -308,7 +310,7 @@
         }
         attempt = new SendAttempt(this, target.get(), running);
         relay.reset(attempt);
-        silence.watch(attempt);
+        stallDetector.watch(attempt);
         attempt.send(
                 new OutboundRequest(
                         exchange.request().method(),
@@ -317,7 +319,9 @@
                         exchange.request().body()));
     }
 
-    /** Records a failure of a silent target, and retries the request elsewhere if it may. */
+    /**
+     * Records a failure of a silent target, and retries the request elsewhere if that is allowed.
+     */
     private void targetSilent(SendAttempt silentAttempt) {
         silentAttempt.target().load().health().failed(core.now());
         if (route.repeatable() && mayRetry()) {
@@ -334,7 +338,7 @@
                         exchange.request().headers(),
                         new ForwardMetadata(
                                 id,
-                                metadata.waitMillis().map(stated -> Math.max(1, leftMillis())),
+                                metadata.timeoutMillis().map(stated -> Math.max(1, leftMillis())),
                                 organisation,
                                 relay.lastEventId().or(metadata::lastEventId),
                                 copyFrom.map(each -> each.target().address())));
@@ -346,7 +350,7 @@
      * @param from The attempt.
      * @param response The head.
      */
-    void responseBegun(SendAttempt from, HttpResponse response) {
+    void responseStarted(SendAttempt from, HttpResponse response) {
         if (core.dialect().notRun(response)) {
             from.ignoreResponse();
             attempt = null;
@@ -366,8 +370,8 @@
      *
      * @param from The attempt.
      */
-    void bodyBegun(SendAttempt from) {
-        core.log().firstChunk(heldMillis());
+    void bodyStarted(SendAttempt from) {
+        core.log().firstChunk(elapsedMillis());
         if (relay.streaming()) {
             engines.ifPresent(routing -> routing.recordResponseStart(from.running()));
         }
@@ -378,7 +382,7 @@
      *
      * @param chunk The bytes.
      */
-    void responseReceived(byte[] chunk) {
+    void bodyReceived(byte[] chunk) {
         relay.receive(chunk, route.resumable());
     }
 
@@ -408,7 +412,7 @@
                 core.harmful().served(identity);
             }
             relay.end();
-            core.log().ended(requestId(), status, history.attempts(), heldMillis());
+            core.log().ended(requestId(), status, history.attempts(), elapsedMillis());
             finish();
         }
     }
@@ -435,7 +439,7 @@
     }
 
     /**
-     * Handles the failure of an attempt, and retries the request if it may.
+     * Handles the failure of an attempt, and retries the request if that is allowed.
      *
      * @param from The attempt.
      * @param failure The failure.
@@ -507,7 +511,10 @@
         }
     }
 
-    /** Retries a request of which nothing was sent. This needs no retry budget. */
+    /**
+     * Retries a request after its target could not be reached. This doesn't use the retry budget,
+     * since nothing was sent.
+     */
     private void retryUnreachable() {
         history.recordUnreachable();
         if (history.mayTryAnotherTarget() && leftMillis() > 0) {
@@ -517,7 +524,7 @@
         }
     }
 
-    /** Tells whether the request may be retried, and if so takes the retry from the budget. */
+    /** Returns whether the request may be retried, and if so takes the retry from the budget. */
     private boolean mayRetry() {
         return history.attempts() < route.maxAttempts() && leftMillis() > 0 && core.takeRetry();
     }
@@ -551,7 +558,8 @@
 
     /**
      * Ends the request without a target's response. If a target may have run it, the caller never
-     * gets a status that promises the opposite; if a response has begun, the connection is closed.
+     * gets a status that promises that it was not run. If a response has begun, the connection is
+     * closed.
      *
      * @param kind The error to respond with if no target ran the request.
      * @param retrySeconds The delay after which the caller may retry, in seconds, or 0.
@@ -593,10 +601,10 @@
                         routeName(),
                         organisation.orElse(""),
                         history.attempts(),
-                        heldMillis());
+                        elapsedMillis());
     }
 
-    /** Releases everything that the request holds. */
+    /** Releases the resources of the request. */
     private void finish() {
         if (!over) {
             over = true;
@@ -610,7 +618,7 @@
     }
 
     /**
-     * Returns the present time.
+     * Returns the current time.
      *
      * @return The time of the event loop, in milliseconds.
      */
@@ -624,7 +632,7 @@
     }
 
     /** Returns the time since the request arrived, in milliseconds. */
-    private long heldMillis() {
+    private long elapsedMillis() {
         return core.now() - arrivedMillis;
     }
 
--- a/src/main/java/org/martenwell/gateway/RequestIdentity.java
+++ b/src/main/java/org/martenwell/gateway/RequestIdentity.java
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Returns the record of the request that is kept while its target may have crashed.
+     * Returns the description of the request that is retained while its target may have crashed.
      *
      * @return The fingerprint and a summary, without the body.
      */
--- a/src/main/java/org/martenwell/gateway/RequestMetadata.java
+++ b/src/main/java/org/martenwell/gateway/RequestMetadata.java
@@ -7,7 +7,7 @@
  *
  * @param requestId The id that the caller gave to this attempt, or empty.
  * @param host The host that the request is addressed to.
- * @param waitMillis The caller's timeout, in milliseconds, or empty if it stated none.
+ * @param timeoutMillis The caller's timeout, in milliseconds, or empty if it stated none.
  * @param key The caller's API key, or empty if it sent none.
  * @param lastEventId The id of the last event that the caller received, if it resumes a stream.
  * @param generation The properties of the prompt, or empty if the request is not for a model.
@@ -15,7 +15,7 @@
 public record RequestMetadata(
         Optional<String> requestId,
         String host,
-        Optional<Long> waitMillis,
+        Optional<Long> timeoutMillis,
         Optional<String> key,
         Optional<String> lastEventId,
         Optional<GenerationMetadata> generation) {}
--- a/src/main/java/org/martenwell/gateway/ResponseRelay.java
+++ b/src/main/java/org/martenwell/gateway/ResponseRelay.java
@@ -11,15 +11,18 @@
 
 /**
  * Forwards the responses of targets to a caller. Streams are forwarded as they arrive, all other
- * responses once they are complete. A resumable stream is forwarded in whole events only, so that
- * another target can continue it.
+ * responses once they are complete. A resumable stream is forwarded in complete events only, so
+ * that another target can continue it.
  */
 final class ResponseRelay {
 
     private static final int OK = 200;
 
-    /** The backlog of unsent bytes above which reading from the target is paused. */
-    private static final int MAX_UNREAD_BYTES = 262_144;
+    /**
+     * The number of bytes not yet written to the caller above which reading from the target is
+     * paused.
+     */
+    private static final int MAX_UNWRITTEN_BYTES = 262_144;
 
     /** The interval at which the backlog of a slow caller is checked, in milliseconds. */
     private static final long BACKLOG_CHECK_MILLIS = 20;
@@ -93,7 +96,7 @@
         }
         beginStream();
         exchange.write(resumable ? events.receive(chunk) : chunk);
-        if (exchange.unwrittenBytes() > MAX_UNREAD_BYTES) {
+        if (exchange.unwrittenBytes() > MAX_UNWRITTEN_BYTES) {
             source.pause();
             scheduleBacklogCheck(source);
         }
@@ -121,7 +124,7 @@
     }
 
     /**
-     * Tells whether the end of the response is marked other than by closing the connection.
+     * Returns whether the response has a framing by which a truncated body can be detected.
      *
      * @return {@code true} if the response has a content length or chunked encoding.
      */
@@ -139,7 +142,7 @@
     }
 
     /**
-     * Returns the last event that was forwarded in whole.
+     * Returns the last event that was forwarded completely.
      *
      * @return The event's id, or empty if no event was forwarded.
      */
@@ -157,12 +160,12 @@
         core.reactor().delayBackground(BACKLOG_CHECK_MILLIS, () -> checkBacklog(paused));
     }
 
-    /** Resumes a paused attempt once the caller has read half of the permitted backlog. */
+    /** Resumes a paused attempt once at most half of the permitted backlog is unwritten. */
     private void checkBacklog(SendAttempt paused) {
         if (paused != source || exchange.finished()) {
             return;
         }
-        if (exchange.unwrittenBytes() > MAX_UNREAD_BYTES / 2) {
+        if (exchange.unwrittenBytes() > MAX_UNWRITTEN_BYTES / 2) {
             scheduleBacklogCheck(paused);
         } else {
             paused.resume();
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -22,7 +22,8 @@
 
     /**
      * The time before the target's idle timeout at which an idle connection is closed, in
-     * milliseconds. It prevents that a request meets a connection that the target closes.
+     * milliseconds. This avoids sending a request on a connection that the target is about to
+     * close.
      */
     private static final long IDLE_MARGIN_MILLIS = 400;
 
@@ -41,11 +42,11 @@
     private long idleMillis;
 
     /** The time at which the last chunk of the body arrived, in milliseconds. */
-    private long heardMillis;
+    private long lastReceivedMillis;
 
-    private boolean bodyBegun;
+    private boolean bodyStarted;
 
-    /** Set once the dispatch takes no further events of this attempt. */
+    /** Set once the dispatch ignores further events of this attempt. */
     private boolean over;
 
     /**
@@ -59,7 +60,7 @@
         this.dispatch = dispatch;
         this.target = target;
         this.running = running;
-        this.heardMillis = running.sentMillis();
+        this.lastReceivedMillis = running.sentMillis();
     }
 
     /**
@@ -96,7 +97,7 @@
      * @return The time in milliseconds, counted from sending before the first chunk.
      */
     long silentMillis() {
-        return dispatch.now() - heardMillis;
+        return dispatch.now() - lastReceivedMillis;
     }
 
     /**
@@ -148,26 +149,26 @@
             idleMillis = Math.max(1, statedMillis - IDLE_MARGIN_MILLIS);
         }
         if (!over) {
-            dispatch.responseBegun(this, head);
+            dispatch.responseStarted(this, head);
         }
     }
 
     @Override
     public void received(byte[] piece) {
-        heardMillis = dispatch.now();
+        lastReceivedMillis = dispatch.now();
         if (!over) {
-            noteBodyBegun();
-            dispatch.responseReceived(piece);
+            recordBodyStart();
+            dispatch.bodyReceived(piece);
         }
     }
 
     @Override
     public void ended() {
-        boolean open = !over;
+        boolean active = !over;
         over = true;
         target.load().ended(running);
         target.connections().keep(connection, idleMillis);
-        if (open) {
+        if (active) {
             dispatch.responseEnded(this);
         }
     }
@@ -184,11 +185,11 @@
     /**
      * Records the first chunk of the body, which shows that the target has prefilled the prompt.
      */
-    private void noteBodyBegun() {
-        if (!bodyBegun) {
-            bodyBegun = true;
+    private void recordBodyStart() {
+        if (!bodyStarted) {
+            bodyStarted = true;
             target.load().firstEventArrived(running);
-            dispatch.bodyBegun(this);
+            dispatch.bodyStarted(this);
         }
     }
 
@@ -197,7 +198,8 @@
         if (over) {
             opened.cancel();
         } else if (!target.load().availability().isAvailable(dispatch.now())) {
-            // While the connection opened, the target may have started to drain or to pause.
+            // The target may have started to drain or asked for a pause while the connection
+            // opened.
             cancel();
             dispatch.targetUnavailable(this);
         }
--- a/src/main/java/org/martenwell/gateway/SendHistory.java
+++ b/src/main/java/org/martenwell/gateway/SendHistory.java
@@ -6,7 +6,7 @@
 /** Attempts of one request: the targets that were tried and whether one may have run it. */
 final class SendHistory {
 
-    /** The number of unreachable targets after which the request still tries another one. */
+    /** The number of unreachable targets up to which the request tries another one. */
     private static final int MAX_UNREACHABLE = 3;
 
     private final Set<String> triedTargets = new HashSet<>();
@@ -27,8 +27,8 @@
      * @return {@code true} if it is the request's first attempt.
      */
     boolean recordAttempt(String target) {
-        // The count of attempts is no sign of a new request, as withdrawn attempts lower it. A
-        // request counted as new more than once would add more than its share of retries.
+        // Doesn't use the number of attempts, since withdrawn attempts lower it. A request that
+        // counts as new more than once would add too much to the retry budget.
         boolean first = triedTargets.isEmpty();
         attempts++;
         triedTargets.add(target);
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Tells whether the request may try another target after unreachable ones.
+     * Returns whether the request may try another target after unreachable ones.
      *
      * @return {@code false} if too many targets were unreachable.
      */
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Tells whether a target may have run the request.
+     * Returns whether a target may have run the request.
      *
      * @return {@code false} if no target can have run it.
      */
--- a/src/main/java/org/martenwell/gateway/StallDetector.java
+++ b/src/main/java/org/martenwell/gateway/StallDetector.java
@@ -13,7 +13,8 @@
     private static final int OBJECTIVES_ALLOWED = 2;
 
     /**
-     * The allowed silence, as a multiple of the longest pause that the route permits in a stream.
+     * The allowed silence, as a multiple of the route's longest interval between events of a
+     * stream.
      */
     private static final int PAUSES_ALLOWED = 4;
 
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -9,9 +9,9 @@
 import org.martenwell.exchange.ConnectResult;
 
 /**
- * Detects whether a target crashed when attempts at it fail, and reports the requests that it had.
- * A probe connection that is refused confirms a crash within milliseconds; otherwise the target's
- * removal from the directory does so later.
+ * Detects whether a target crashed when attempts at it fail, and reports the requests that it was
+ * running. A probe connection that is refused confirms a crash within milliseconds; otherwise the
+ * target's removal from the directory does so later.
  */
 final class TargetCrashDetector {
 
@@ -23,15 +23,15 @@
 
     /**
      * The time after a cancelled attempt within which a crash is attributed to its request, in
-     * milliseconds. The target may have gone on with the request.
+     * milliseconds. The target may have continued to run the request.
      */
     private static final long CANCELLED_ATTEMPT_MILLIS = 1_000;
 
     /**
-     * The longest time that a failed attempt waits for the verdict, in milliseconds. It delays the
+     * The longest time that a failed attempt waits for the probe, in milliseconds. It delays the
      * retry; a connection to a crashed target is usually refused within 3 ms.
      */
-    private static final long VERDICT_TIMEOUT_MILLIS = 100;
+    private static final long PROBE_TIMEOUT_MILLIS = 100;
 
     private final NioReactor reactor;
 
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Attempt that failed or was cancelled.
+     * An attempt that failed or was cancelled.
      *
      * @param suspect The request.
      * @param untilMillis The time until which a crash is attributed to the request, in
@@ -66,7 +66,7 @@
 
         private final List<Attempt> attempts = new ArrayList<>();
 
-        /** The callbacks of failed attempts that wait for the verdict. */
+        /** The callbacks of failed attempts that wait for the probe. */
         private final List<Runnable> waiting = new ArrayList<>();
 
         private boolean probing;
@@ -92,19 +92,19 @@
      *
      * @param target The target.
      * @param suspect The request.
-     * @param verdict The callback that runs once the probe is complete or has timed out.
+     * @param afterProbe The callback that runs once the probe is complete or has timed out.
      */
-    void attemptFailed(KnownTarget target, SuspectRequest suspect, Runnable verdict) {
+    void attemptFailed(KnownTarget target, SuspectRequest suspect, Runnable afterProbe) {
         Incarnation incarnation = touch(target);
         if (incarnation.crashed) {
             listener.crashed(suspect, incarnationOf(target));
-            verdict.run();
+            afterProbe.run();
             return;
         }
         incarnation.attempts.add(
                 new Attempt(suspect, reactor.currentTimeMillis() + FAILED_ATTEMPT_MILLIS));
-        incarnation.waiting.add(verdict);
-        reactor.delayBackground(VERDICT_TIMEOUT_MILLIS, () -> runWaiting(incarnation));
+        incarnation.waiting.add(afterProbe);
+        reactor.delayBackground(PROBE_TIMEOUT_MILLIS, () -> runWaiting(incarnation));
         if (!incarnation.probing) {
             incarnation.probing = true;
             target.connections().probe(result -> probed(target, incarnation, result));
@@ -140,7 +140,7 @@
             target.load().health().connectFailed(reactor.currentTimeMillis());
             reportCrash(target, incarnation);
         }
-        // An accepted probe is no proof that the target lives: it may have reached the next
+        // An accepted probe doesn't prove that the target is running: it may have reached the next
         // incarnation. The directory may still report the crash later.
         runWaiting(incarnation);
     }
--- a/src/main/java/org/martenwell/gateway/TargetEventHandler.java
+++ b/src/main/java/org/martenwell/gateway/TargetEventHandler.java
@@ -22,7 +22,7 @@
 
     private final GatewayLog log;
 
-    /** The wall clock, to evaluate dates in responses. */
+    /** The wall clock, for dates in responses. */
     private final Clock clock;
 
     /**
@@ -31,8 +31,8 @@
      * @param reactor The event loop, which supplies the time.
      * @param dialect Parses responses.
      * @param harmful Receives crashed targets.
-     * @param log Receives targets that drain or pause.
-     * @param clock The wall clock, to evaluate dates in responses.
+     * @param log Receives draining and paused targets.
+     * @param clock The wall clock, for dates in responses.
      */
     TargetEventHandler(
             NioReactor reactor,
@@ -53,17 +53,17 @@
     }
 
     @Override
-    public void leaves(String incarnation, NoticeSource source) {
+    public void draining(String incarnation, NoticeSource source) {
         log.draining(incarnation, source);
     }
 
     @Override
-    public void answered(TargetLoad target, HttpResponse head) {
+    public void responseReceived(TargetLoad target, HttpResponse head) {
         AvailabilityNotice notice = dialect.notice(head, clock.millis());
         Availability availability = target.availability();
         long now = reactor.currentTimeMillis();
         if (notice.draining() && availability.markDraining(NoticeSource.ANSWER, now)) {
-            leaves(target.target().incarnation(), NoticeSource.ANSWER);
+            draining(target.target().incarnation(), NoticeSource.ANSWER);
         }
         if (notice.pauseMillis() > 0 && availability.pause(notice.pauseMillis(), now)) {
             log.pauseRequested(target.target().incarnation(), notice.pauseMillis());
--- a/src/main/java/org/martenwell/gateway/TargetTable.java
+++ b/src/main/java/org/martenwell/gateway/TargetTable.java
@@ -45,7 +45,7 @@
     private final Map<String, PrefillRate> rates = new HashMap<>();
 
     /**
-     * The time that the directory may lag behind peers in reporting that a target drains, in
+     * The time that the directory may lag behind peers in reporting that a target is draining, in
      * milliseconds. Twice the batching delay of directory changes in the largest fleet.
      */
     private static final long DIRECTORY_LAG_MILLIS = 1_500;
@@ -93,7 +93,7 @@
         KnownTarget current = targetsByIncarnation.get(entry.incarnation());
         if (current != null && current.load().target().address().equals(entry.address())) {
             current.load().target(entry);
-            noteLeaving(current.load());
+            markIfDraining(current.load());
             return;
         }
         if (targets.containsKey(entry.id())) {
@@ -103,7 +103,7 @@
         KnownTarget created = create(entry);
         targets.put(entry.id(), created);
         targetsByIncarnation.put(entry.incarnation(), created);
-        noteLeaving(created.load());
+        markIfDraining(created.load());
     }
 
     /**
@@ -111,9 +111,9 @@
      *
      * @param load The target.
      */
-    private void noteLeaving(TargetLoad load) {
+    private void markIfDraining(TargetLoad load) {
         if (load.target().draining()) {
-            markLeaving(
+            markDraining(
                     load.target().incarnation(),
                     NoticeSource.DIRECTORY,
                     reactor.currentTimeMillis());
@@ -125,12 +125,12 @@
      * lists it as ready, because the directory may be stale.
      *
      * @param incarnation The target's incarnation.
-     * @param source The origin of that knowledge.
+     * @param source The source of the notice.
      * @param now The current time, in milliseconds.
      */
-    private void markLeaving(String incarnation, NoticeSource source, long now) {
+    private void markDraining(String incarnation, NoticeSource source, long now) {
         if (availability(incarnation).markDraining(source, now)) {
-            listener.leaves(incarnation, source);
+            listener.draining(incarnation, source);
         }
     }
 
@@ -147,22 +147,22 @@
     }
 
     /**
-     * Removes a target that is gone or has restarted.
+     * Removes a target that is no longer listed or has restarted.
      *
      * @param id The target's id.
      */
     private void removeTarget(String id) {
-        KnownTarget gone = targets.remove(id);
-        targetsByIncarnation.remove(gone.load().target().incarnation());
-        if (!gone.load().availability().isDraining()) {
-            listener.crashed(gone);
+        KnownTarget removed = targets.remove(id);
+        targetsByIncarnation.remove(removed.load().target().incarnation());
+        if (!removed.load().availability().isDraining()) {
+            listener.crashed(removed);
         }
-        gone.connections().close();
+        removed.connections().close();
     }
 
     /**
      * Finds the target at an address. When a new target takes over the address of one that is still
-     * listed, the former one has ended.
+     * listed, the former one has crashed.
      *
      * @param address The address.
      * @return The target or empty if there is none.
@@ -179,16 +179,16 @@
      * @param incarnation The target's incarnation.
      * @param now The current time, in milliseconds.
      */
-    void markLeavingByPeer(String incarnation, long now) {
-        markLeaving(incarnation, NoticeSource.PEER, now);
+    void markDrainingByPeer(String incarnation, long now) {
+        markDraining(incarnation, NoticeSource.PEER, now);
     }
 
     /**
-     * Checks for targets known to drain that the directory has listed as ready for too long, so
-     * that it may have missed other changes too. Each target is reported once.
+     * Returns whether the directory has listed a draining target as ready for too long, so that
+     * other changes may be missing too. Each target counts once.
      *
      * @param now The current time, in milliseconds.
-     * @return {@code true} if the directory has to be read again.
+     * @return {@code true} if the directory should be read again.
      */
     boolean detectStaleDirectory(long now) {
         boolean stale = false;
@@ -222,18 +222,18 @@
      * @param now The current time, in milliseconds.
      * @return The loads of these targets.
      */
-    List<TargetLoad> open(String service, Collection<String> tried, long now) {
-        List<TargetLoad> open = new ArrayList<>();
+    List<TargetLoad> available(String service, Collection<String> tried, long now) {
+        List<TargetLoad> available = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
             DirectoryTarget target = each.load().target();
             if (target.service().equals(service)
                     && each.load().availability().isAvailable(now)
                     && !tried.contains(target.id())
                     && each.load().health().isAvailable(now)) {
-                open.add(each.load());
+                available.add(each.load());
             }
         }
-        return open;
+        return available;
     }
 
     /**
@@ -262,8 +262,8 @@
     List<TargetLoad> draining(String service) {
         List<TargetLoad> found = new ArrayList<>();
         for (KnownTarget each : targets.values()) {
-            boolean leaves = each.load().availability().isDraining();
-            if (leaves && each.load().target().service().equals(service)) {
+            boolean draining = each.load().availability().isDraining();
+            if (draining && each.load().target().service().equals(service)) {
                 found.add(each.load());
             }
         }
@@ -299,7 +299,7 @@
      * Returns the prefill rate of a service's targets.
      *
      * @param service The name of the service.
-     * @return The rate, which is updated by its users.
+     * @return The rate, which callers update by their observations.
      */
     PrefillRate rate(String service) {
         return rates.computeIfAbsent(service, name -> new PrefillRate());
@@ -325,19 +325,19 @@
                         entry.address(),
                         CONNECT_MILLIS,
                         KeepAlive.NONE,
-                        head -> listener.answered(load, head)));
+                        head -> listener.responseReceived(load, head)));
     }
 
     /**
-     * Creates a client for requests that this gateway itself makes to a target.
+     * Creates a client for requests of the gateway itself to a target.
      *
      * @param target The target.
      * @return The client, which has its own connections and must be closed.
      */
-    InternalHttpClient caller(KnownTarget target) {
+    InternalHttpClient createClient(KnownTarget target) {
         return new InternalHttpClient(
                 reactor,
                 target.load().target().address(),
-                head -> listener.answered(target.load(), head));
+                head -> listener.responseReceived(target.load(), head));
     }
 }
--- a/src/main/java/org/martenwell/gateway/TargetTableListener.java
+++ b/src/main/java/org/martenwell/gateway/TargetTableListener.java
@@ -8,7 +8,7 @@
 interface TargetTableListener {
 
     /**
-     * Called when a target is gone from the directory or has restarted without having drained, or
+     * Called when a target that isn't draining was removed from the directory or has restarted, or
      * when another target has taken over its address.
      *
      * @param target The crashed target.
@@ -16,18 +16,19 @@
     void crashed(KnownTarget target);
 
     /**
-     * Called when a target is first known to drain.
+     * Called when a target is first known to be draining.
      *
      * @param incarnation The target's incarnation.
-     * @param source The origin of that knowledge.
+     * @param source The source of the notice.
      */
-    void leaves(String incarnation, NoticeSource source);
+    void draining(String incarnation, NoticeSource source);
 
     /**
-     * Called for the head of each response of a target, whatever request it answers.
+     * Called for the head of each response of a target, to callers' requests and to the gateway's
+     * own.
      *
      * @param target The target.
      * @param head The head of the response.
      */
-    void answered(TargetLoad target, HttpResponse head);
+    void responseReceived(TargetLoad target, HttpResponse head);
 }
--- a/src/main/java/org/martenwell/prompt/SharedKeys.java
+++ b/src/main/java/org/martenwell/prompt/SharedKeys.java
@@ -21,7 +21,7 @@
      *
      * @param key The part's key.
      */
-    public void seen(long key) {
+    public void add(long key) {
         keys.put(key, Boolean.TRUE);
         if (keys.size() > MAX_KEYS) {
             keys.remove(keys.keySet().iterator().next());
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Decides the undecided requests that are due and drops expired ones.
+     * Decides on the undecided requests that are due and removes expired ones.
      *
      * @param now The current time, in milliseconds.
      * @return The requests that this call quarantined.
--- a/src/main/java/org/martenwell/quarantine/QuarantineState.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineState.java
@@ -10,12 +10,12 @@
     FREE(Optional.empty()),
 
     /**
-     * The request has reached the crash threshold and is rejected until the decision delay has
+     * The request has reached the crash threshold and is refused until the decision delay has
      * passed.
      */
     UNDECIDED(Optional.of(ErrorKind.MAY_END_TARGETS)),
 
-    /** The request is quarantined and rejected. */
+    /** The request is quarantined and refused. */
     HELD(Optional.of(ErrorKind.ENDS_TARGETS));
 
     /** The error for a request in this state, empty if it may be sent. */
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Returns the error with which a request in this state is rejected.
+     * Returns the error with which a request in this state is refused.
      *
      * @return The kind of error, empty if the request may be sent.
      */
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -1,9 +1,9 @@
 package org.martenwell.quarantine;
 
 /**
- * Quarantine information that gateways gossip about a request. Applying an update is idempotent and
- * independent of order, because a crash names the incarnation that crashed instead of adding to a
- * count.
+ * Quarantine information that gateways gossip about a request. Updates are idempotent and
+ * commutative, because a crash is identified by the incarnation that crashed and not merely
+ * counted.
  *
  * @param fingerprint The fingerprint of the request.
  * @param kind The kind of update.
--- a/src/main/java/org/martenwell/quarantine/Suspicion.java
+++ b/src/main/java/org/martenwell/quarantine/Suspicion.java
@@ -16,8 +16,8 @@
 
     /**
      * The time between the crash that reaches the threshold and the decision, in milliseconds.
-     * Leaves time for a frequent, harmless request to complete on another target and for the update
-     * on that to arrive, which takes up to 0.6 s in large fleets.
+     * Allows a frequent, harmless request to complete on another target and the update about it to
+     * arrive, which takes up to 0.6 s in large fleets.
      */
     private static final long DECISION_DELAY_MILLIS = 1_000;
 
@@ -29,7 +29,7 @@
 
     /**
      * The time for which crashes are ignored after the request was cleared, in milliseconds. Longer
-     * than updates take between gateways, so that delayed ones don't count.
+     * than an update takes between gateways, so that delayed updates have no effect.
      */
     private static final long IGNORE_CRASHES_MILLIS = 10_000;
 
--- a/src/main/java/org/martenwell/quarantine/UpdateQueue.java
+++ b/src/main/java/org/martenwell/quarantine/UpdateQueue.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Queue of updates to send to peers. Each update is sent several times, because a report that is
- * lost with its connection isn't resent.
+ * Queue of updates to send to peers. Each update is sent several times, because reports that are
+ * lost with a connection aren't sent again.
  */
 final class UpdateQueue {
 
--- a/src/main/java/org/martenwell/share/FairShares.java
+++ b/src/main/java/org/martenwell/share/FairShares.java
@@ -62,7 +62,7 @@
     /** The fraction of the promised capacity that is requested within fair shares. */
     private double promisedDemand;
 
-    /** The time of the first request since the last pause of a whole window, in milliseconds. */
+    /** The time of the first request after the last window without requests, in milliseconds. */
     private long countedSinceMillis;
 
     /** The time of the last request, in milliseconds. */
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Reverts {@link #sent} for a request that no target has started to process.
+     * Reverts {@link #sent} for a request that no target has served.
      *
      * @param organisation The organisation.
      * @param tokens The cost of the request, in tokens.
@@ -143,7 +143,7 @@
      * @param counts The peer's counts of the last window.
      * @param now The current time, in milliseconds.
      */
-    public void peer(String peer, ShareCounts counts, long now) {
+    public void applyPeerReport(String peer, ShareCounts counts, long now) {
         peers.put(peer, new PeerCounts(counts, now));
     }
 
@@ -165,8 +165,8 @@
                 sums.put(each, own);
             }
         }
-        boolean paused = now - lastRequestMillis > windowMillis;
-        return new ShareCounts(paused ? 0 : Math.min(windowMillis, now - countedSinceMillis), sums);
+        boolean idle = now - lastRequestMillis > windowMillis;
+        return new ShareCounts(idle ? 0 : Math.min(windowMillis, now - countedSinceMillis), sums);
     }
 
     private static double sum(Map<String, SlidingSum> sums, String organisation, long now) {
@@ -188,11 +188,11 @@
         if (now - computedMillis >= BASE_REFRESH_MILLIS + REFRESH_MILLIS_PER_PEER * peers.size()) {
             compute(capacity, now);
         }
-        ShareSums got = fleetSums.getOrDefault(organisation, ShareSums.NONE);
+        ShareSums sums = fleetSums.getOrDefault(organisation, ShareSums.NONE);
         // Requests sent beyond the promised share used idle capacity; they don't count against it.
         return new ShareUse(
-                (got.withinShare() + tokens / 2) / level,
-                (got.sent() + tokens / 2) / observedLevel);
+                (sums.withinShare() + tokens / 2) / level,
+                (sums.sent() + tokens / 2) / observedLevel);
     }
 
     /**
--- a/src/main/java/org/martenwell/share/ShareSummary.java
+++ b/src/main/java/org/martenwell/share/ShareSummary.java
@@ -30,20 +30,17 @@
     static ShareSummary of(
             double level, double observedLevel, Map<String, ShareSums> sums, int limit) {
         Map<String, ShareSums> organisations = new LinkedHashMap<>();
-        Comparator<Map.Entry<String, ShareSums>> byAsked =
+        Comparator<Map.Entry<String, ShareSums>> byDemand =
                 Comparator.comparingDouble(each -> -each.getValue().requested());
         sums.entrySet().stream()
-                .sorted(byAsked)
+                .sorted(byDemand)
                 .limit(limit)
                 .forEach(each -> organisations.put(each.getKey(), each.getValue()));
         double produced = sums.values().stream().mapToDouble(ShareSums::sent).sum();
         return new ShareSummary(level, observedLevel, produced, organisations);
     }
 
-    /**
-     * Returns a text like {@code level 5, observed 6, produced 9, o requested 9 got 6 withinShare
-     * 5}.
-     */
+    /** Returns a text like {@code level 5, observed 6, produced 9, o asked 9 got 6 within 5}. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
--- a/src/test/java/org/martenwell/balance/EngineChooserTest.java
+++ b/src/test/java/org/martenwell/balance/EngineChooserTest.java
@@ -17,7 +17,7 @@
 
 class EngineChooserTest {
 
-    private static final EngineCapacity TERMS = new EngineCapacity(10, 100_000, true);
+    private static final EngineCapacity CAPACITY = new EngineCapacity(10, 100_000, true);
 
     private final EngineChooser chooser = new EngineChooser("domain-a", new Random(1));
 
@@ -56,8 +56,8 @@
         add("two", "domain-a");
         loads.get(1).promptCache().put(chain(), 100_000);
         PromptCacheLookup cacheLookup = PromptCacheLookup.of(chain(), loads, draining);
-        assertThat(cacheLookup.source(loads.get(0))).contains(loads.get(1));
-        assertThat(cacheLookup.source(loads.get(1))).isEmpty();
+        assertThat(cacheLookup.copySource(loads.get(0))).contains(loads.get(1));
+        assertThat(cacheLookup.copySource(loads.get(1))).isEmpty();
     }
 
     @Test
@@ -87,9 +87,9 @@
     @Test
     void testRequestsOfPeersOccupySlots() {
         add("one", "domain-a");
-        loads.get(0).peer("peer", new LoadSums(10, 0, 0), 0);
+        loads.get(0).applyPeerReport("peer", new LoadSums(10, 0, 0), 0);
         assertThat(choose(ShareTier.PROMISED)).isEmpty();
-        loads.get(0).peer("peer", new LoadSums(7, 0, 0), 0);
+        loads.get(0).applyPeerReport("peer", new LoadSums(7, 0, 0), 0);
         assertThat(choose(ShareTier.PROMISED)).isPresent();
         assertThat(choose(ShareTier.OBSERVED)).isPresent();
         assertThat(choose(ShareTier.BEYOND)).isEmpty();
@@ -103,24 +103,24 @@
         RunningRequest second = new RunningRequest(200, 20, 0, 0);
         load.sent(first);
         load.sent(second);
-        load.peer("peer", new LoadSums(3, 30, 300), 0);
-        load.peer("other", new LoadSums(1, 1, 1), 0);
-        assertThat(load.all(0)).isEqualTo(new LoadSums(6, 331, 331));
+        load.applyPeerReport("peer", new LoadSums(3, 30, 300), 0);
+        load.applyPeerReport("other", new LoadSums(1, 1, 1), 0);
+        assertThat(load.totalLoad(0)).isEqualTo(new LoadSums(6, 331, 331));
         load.firstEventArrived(first);
-        load.peer("peer", new LoadSums(2, 0, 200), 10);
-        load.peer("other", LoadSums.NONE, 10);
-        assertThat(load.all(10)).isEqualTo(new LoadSums(4, 200, 230));
+        load.applyPeerReport("peer", new LoadSums(2, 0, 200), 10);
+        load.applyPeerReport("other", LoadSums.NONE, 10);
+        assertThat(load.totalLoad(10)).isEqualTo(new LoadSums(4, 200, 230));
         load.ended(first);
         load.ended(first);
         load.ended(second);
-        assertThat(load.all(10)).isEqualTo(new LoadSums(2, 0, 200));
-        assertThat(load.all(5_000)).isEqualTo(LoadSums.NONE);
+        assertThat(load.totalLoad(10)).isEqualTo(new LoadSums(2, 0, 200));
+        assertThat(load.totalLoad(5_000)).isEqualTo(LoadSums.NONE);
     }
 
     @Test
     void testReportOfAPeerExpires() {
         add("one", "domain-a");
-        loads.get(0).peer("peer", new LoadSums(10, 0, 0), -5_000);
+        loads.get(0).applyPeerReport("peer", new LoadSums(10, 0, 0), -5_000);
         assertThat(choose(ShareTier.PROMISED)).isPresent();
     }
 
@@ -149,7 +149,7 @@
         EngineDemand small = new EngineDemand("o", PromptChain.EMPTY, 10, 10, 400, 0);
         EngineDemand large = new EngineDemand("o", PromptChain.EMPTY, 30_000, 10, 400, 0);
         assertThat(choose(small, ShareTier.PROMISED)).isPresent();
-        assertThat(chooser.withCapacity(large, ShareTier.PROMISED, loads, TERMS, rate, 0))
+        assertThat(chooser.withCapacity(large, ShareTier.PROMISED, loads, CAPACITY, rate, 0))
                 .hasSize(1);
         assertThat(choose(large, ShareTier.PROMISED)).isEmpty();
     }
@@ -160,9 +160,9 @@
     }
 
     private Optional<EngineChoice> choose(EngineDemand demand, ShareTier tier) {
-        List<TargetLoad> candidates = chooser.withCapacity(demand, tier, loads, TERMS, rate, 0);
+        List<TargetLoad> candidates = chooser.withCapacity(demand, tier, loads, CAPACITY, rate, 0);
         PromptCacheLookup cacheLookup = PromptCacheLookup.of(demand.chain(), loads, draining);
-        return chooser.choose(demand, tier, candidates, cacheLookup, TERMS, rate, 0, 0);
+        return chooser.choose(demand, tier, candidates, cacheLookup, CAPACITY, rate, 0, 0);
     }
 
     private static PromptChain chain() {
--- a/src/test/java/org/martenwell/balance/PlacementSimulation.java
+++ b/src/test/java/org/martenwell/balance/PlacementSimulation.java
@@ -54,7 +54,7 @@
             int sharedTokens,
             int prefixCount,
             int ownPartTokens,
-            int answerTokens,
+            int responseTokens,
             long objectiveMillis) {}
 
     /** Reports, questions and classifications. */
@@ -64,7 +64,7 @@
                     new Kind(0.20, 200, 800, 630, 290, 200),
                     new Kind(0.55, 570, 1_450, 1_800, 22, 250));
 
-    private static final EngineCapacity TERMS = new EngineCapacity(16, 636_749, true);
+    private static final EngineCapacity CAPACITY = new EngineCapacity(16, 636_749, true);
 
     /** The length of the queue of an engine. */
     private static final int MAX_QUEUED = 33;
@@ -206,7 +206,7 @@
             this.gateway = gateway;
             this.kind = kind;
             this.ownTokens = (int) (kind.ownPartTokens() * (0.5 + random.nextDouble()));
-            String prefix = kind.answerTokens() + "-" + random.nextInt(kind.prefixCount());
+            String prefix = kind.responseTokens() + "-" + random.nextInt(kind.prefixCount());
             List<PromptPart> parts =
                     List.of(
                             new PromptPart(prefix, kind.sharedTokens()),
@@ -216,7 +216,7 @@
                             "o",
                             PromptChain.of("m", parts),
                             (long) kind.sharedTokens() + ownTokens,
-                            kind.answerTokens(),
+                            kind.responseTokens(),
                             kind.objectiveMillis(),
                             (long) now);
         }
@@ -235,12 +235,12 @@
         private void send(TargetLoad target, long prefillTokens) {
             running =
                     new RunningRequest(
-                            prefillTokens, (long) ownTokens + kind.answerTokens(), (long) now, 0);
+                            prefillTokens, (long) ownTokens + kind.responseTokens(), (long) now, 0);
             target.sent(running);
             gateway.unreported.sent(
-                    EngineChooser.workMillis(prefillTokens / PREFILL_RATE, TERMS.slots()),
+                    EngineChooser.workMillis(prefillTokens / PREFILL_RATE, CAPACITY.slots()),
                     (long) now);
-            target.promptCache().put(demand.chain(), TERMS.memoryTokens() / 2);
+            target.promptCache().put(demand.chain(), CAPACITY.memoryTokens() / 2);
             Engine engine = engines.get(Integer.parseInt(target.target().id()));
             if (!engine.accept(this, prefillTokens)) {
                 target.ended(running);
@@ -260,7 +260,7 @@
                     .ifPresentOrElse(other -> send(other, demand.promptTokens()), () -> refused++);
         }
 
-        private void begun(Engine engine) {
+        private void firstEventArrived(Engine engine) {
             gateway.load(engine).firstEventArrived(running);
             if (now + NETWORK_MILLIS - demand.arrivedMillis() <= demand.objectiveMillis()) {
                 inTime++;
@@ -299,7 +299,7 @@
         }
 
         private void startNext() {
-            while (running < TERMS.slots() && !waiting.isEmpty()) {
+            while (running < CAPACITY.slots() && !waiting.isEmpty()) {
                 running++;
                 waiting.poll().run();
             }
@@ -309,9 +309,9 @@
             prefillFreeAt = Math.max(now, prefillFreeAt) + prefillTokens / PREFILL_RATE;
             double first = prefillFreeAt + BASE_MILLIS;
             double tokenMillis = TOKEN_MILLIS + TOKEN_MILLIS_PER_SLOT * running;
-            schedule(first, () -> request.begun(this));
+            schedule(first, () -> request.firstEventArrived(this));
             schedule(
-                    first + tokenMillis * request.kind.answerTokens(),
+                    first + tokenMillis * request.kind.responseTokens(),
                     () -> {
                         request.ended(this);
                         running--;
@@ -348,10 +348,10 @@
                                         "s",
                                         IpAddress.of("127.0.0.1:1"),
                                         domain(engine),
-                                        TERMS.slots(),
+                                        CAPACITY.slots(),
                                         false)));
             }
-            unreported.fleet(
+            unreported.updateFleet(
                     scenario.gateways() - 1,
                     scenario.reportMillis() / 2.0 + scenario.delayMillis());
             for (int sample = 0; sample < 200; sample++) {
@@ -366,32 +366,33 @@
             return loads.get(engine.index);
         }
 
-        private List<TargetLoad> open() {
+        private List<TargetLoad> available() {
             return loads.stream().filter(each -> each.health().isAvailable((long) now)).toList();
         }
 
         private Optional<EngineChoice> choose(EngineDemand demand) {
             List<TargetLoad> candidates =
                     chooser.withCapacity(
-                            demand, ShareTier.PROMISED, open(), TERMS, rate, (long) now);
+                            demand, ShareTier.PROMISED, available(), CAPACITY, rate, (long) now);
             if (candidates.isEmpty()) {
                 return Optional.empty();
             }
-            PromptCacheLookup cacheLookup = PromptCacheLookup.of(demand.chain(), open(), List.of());
+            PromptCacheLookup cacheLookup =
+                    PromptCacheLookup.of(demand.chain(), available(), List.of());
             return chooser.choose(
                     demand,
                     ShareTier.PROMISED,
                     candidates,
                     cacheLookup,
-                    TERMS,
+                    CAPACITY,
                     rate,
                     addsNoise ? unreported.perTarget(scenario.engines(), (long) now) : 0,
                     (long) now);
         }
 
         private Optional<TargetLoad> leastLoaded() {
-            return open().stream()
-                    .min(Comparator.comparingInt(each -> each.all((long) now).requests()));
+            return available().stream()
+                    .min(Comparator.comparingInt(each -> each.totalLoad((long) now).requests()));
         }
 
         private void reportFrom(double at, double end) {
@@ -427,7 +428,7 @@
         }
 
         private void receive(String peer, int engine, LoadSums sums) {
-            loads.get(engine).peer(peer, sums, (long) now);
+            loads.get(engine).applyPeerReport(peer, sums, (long) now);
         }
     }
 }
--- a/src/test/java/org/martenwell/balance/UnreportedWorkTest.java
+++ b/src/test/java/org/martenwell/balance/UnreportedWorkTest.java
@@ -19,7 +19,7 @@
     /** Ten peers that each send 0.2 ms of work per millisecond add 6 ms per target in 0.3 s. */
     @Test
     void testPeersAreAssumedToSendAsMuch() {
-        unreported.fleet(10, 300);
+        unreported.updateFleet(10, 300);
         for (long now = 0; now < 20_000; now += 100) {
             unreported.sent(20, now);
         }
@@ -28,7 +28,7 @@
 
     @Test
     void testWorkDecays() {
-        unreported.fleet(10, 300);
+        unreported.updateFleet(10, 300);
         unreported.sent(1_000, 0);
         assertThat(unreported.perTarget(1, 20_000)).isLessThan(0.1);
     }
--- a/src/test/java/org/martenwell/gateway/DeadMemberDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/DeadMemberDetectorTest.java
@@ -36,21 +36,21 @@
         assertThat(detectTwice("a", DEAD_AFTER_MILLIS, "a", "b")).isEmpty();
     }
 
-    /** Checks, waits while some gateways are heard, and checks again. */
-    private static List<String> detectTwice(String self, long waitMillis, String... heard) {
+    /** Checks, waits while some gateways report, and checks again. */
+    private static List<String> detectTwice(String self, long waitMillis, String... reporting) {
         LivePeers live = new LivePeers(self);
         DeadMemberDetector detector = new DeadMemberDetector();
         List<String> peers = FLEET.stream().filter(each -> !each.equals(self)).toList();
-        hear(live, self, 0, heard);
+        report(live, self, 0, reporting);
         assertThat(detector.findDead(peers, live, 0)).isEmpty();
-        hear(live, self, waitMillis, heard);
+        report(live, self, waitMillis, reporting);
         return detector.findDead(peers, live, waitMillis);
     }
 
-    private static void hear(LivePeers live, String self, long now, String... heard) {
-        for (String each : heard) {
+    private static void report(LivePeers live, String self, long now, String... reporting) {
+        for (String each : reporting) {
             if (!each.equals(self)) {
-                live.heard(each, now);
+                live.recordReport(each, now);
             }
         }
     }
--- a/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineReserveShareTest.java
@@ -27,7 +27,7 @@
     /** The promised capacity of the fleet, in tokens per second. */
     private static final long PROMISED_TOKENS = 10_000;
 
-    private static final EngineCapacity TERMS = new EngineCapacity(4, 100_000, true);
+    private static final EngineCapacity CAPACITY = new EngineCapacity(4, 100_000, true);
 
     private final GatewayCore core =
             GatewayCores.of(
@@ -43,14 +43,14 @@
                             10,
                             400,
                             core.now()),
-                    TERMS,
+                    CAPACITY,
                     GatewayCores.SERVICE);
 
     private final List<TargetLoad> loads = new ArrayList<>();
 
     @BeforeEach
     void start() {
-        core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
+        core.configure(GatewayCores.configuration(CAPACITY, PROMISED_TOKENS));
         core.targets().update(Map.of("one", target("one"), "two", target("two")));
         core.targets().all().forEach(each -> loads.add(each.load()));
     }
--- a/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
+++ b/src/test/java/org/martenwell/gateway/EngineRoutingTest.java
@@ -31,7 +31,7 @@
 
     private static final int SLOTS = 4;
 
-    private static final EngineCapacity TERMS = new EngineCapacity(SLOTS, 100_000, true);
+    private static final EngineCapacity CAPACITY = new EngineCapacity(SLOTS, 100_000, true);
 
     /** The promised capacity of the fleet, in tokens per second. */
     private static final long PROMISED_TOKENS = 10_000;
@@ -51,14 +51,14 @@
             new EngineRouting(
                     core,
                     new EngineDemand("o", chain, 5_009, 10, 400, core.now()),
-                    TERMS,
+                    CAPACITY,
                     GatewayCores.SERVICE);
 
     private final List<TargetLoad> loads = new ArrayList<>();
 
     @BeforeEach
     void start() {
-        core.configure(GatewayCores.configuration(TERMS));
+        core.configure(GatewayCores.configuration(CAPACITY));
         core.targets().update(Map.of("one", target("one"), "two", target("two")));
         core.targets().all().forEach(each -> loads.add(each.load()));
         loads.sort((one, two) -> one.target().id().compareTo(two.target().id()));
@@ -129,7 +129,7 @@
 
     @Test
     void testRequestBeyondShareDoesNotUseBusyReservedEngines() {
-        core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
+        core.configure(GatewayCores.configuration(CAPACITY, PROMISED_TOKENS));
         exceedPromisedShare();
         EngineChoice beyond = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
         List<TargetLoad> unreserved = core.reserve().unreserved(loads, core.tokensWithinShares());
@@ -142,7 +142,7 @@
 
     @Test
     void testRequestBeyondPromisedShareUsesIdleReservedEngine() {
-        core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
+        core.configure(GatewayCores.configuration(CAPACITY, PROMISED_TOKENS));
         exceedPromisedShare();
         EngineChoice unreserved = routing.decide(loads, 0, GatewayCores.route(400)).choice().get();
         fill(unreserved.load(), SLOTS);
@@ -153,7 +153,7 @@
 
     @Test
     void testRequestBeyondShareIsRefusedIfAllEnginesAreReserved() {
-        core.configure(GatewayCores.configuration(TERMS, PROMISED_TOKENS));
+        core.configure(GatewayCores.configuration(CAPACITY, PROMISED_TOKENS));
         exceedPromisedShare();
         core.reserve().sent(1e9, 1);
         loads.forEach(each -> fill(each, 1));
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -24,7 +24,9 @@
 import org.martenwell.service.LoopbackPorts;
 import org.martenwell.settings.GatewaySettings;
 
-/** Tests that all gateways of a large fleet learn each other's loads, also when a relay fails. */
+/**
+ * Tests that the gateways of a large fleet receive each other's loads, even after a relay fails.
+ */
 final class LargeFleetReportsTest {
 
     /** More gateways than a mesh has. */
@@ -115,7 +117,7 @@
     }
 
     private int requestsAt(String name) {
-        return load(name).all(thread.loop().currentTimeMillis()).requests();
+        return load(name).totalLoad(thread.loop().currentTimeMillis()).requests();
     }
 
     private void run(Runnable action) {
--- a/src/test/java/org/martenwell/gateway/LivePeersTest.java
+++ b/src/test/java/org/martenwell/gateway/LivePeersTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void testEachTargetHasOneOwnerAmongConnectedGateways() {
-        List<LivePeers> fleet = NAMES.stream().map(LivePeersTest::hearingAll).toList();
+        List<LivePeers> fleet = NAMES.stream().map(LivePeersTest::knowingAll).toList();
         for (String target : IntStream.range(0, 50).mapToObj(each -> "t-" + each).toList()) {
             assertThat(fleet.stream().filter(each -> each.owns(target, 100))).hasSize(1);
         }
@@ -21,15 +21,17 @@
 
     @Test
     void testTargetsOfASilentPeerMoveToTheOthers() {
-        LivePeers alone = hearingAll("a");
+        LivePeers alone = knowingAll("a");
         for (String target : IntStream.range(0, 50).mapToObj(each -> "t-" + each).toList()) {
             assertThat(alone.owns(target, 5_000)).isTrue();
         }
     }
 
-    private static LivePeers hearingAll(String self) {
+    private static LivePeers knowingAll(String self) {
         LivePeers live = new LivePeers(self);
-        NAMES.stream().filter(each -> !each.equals(self)).forEach(each -> live.heard(each, 0));
+        NAMES.stream()
+                .filter(each -> !each.equals(self))
+                .forEach(each -> live.recordReport(each, 0));
         return live;
     }
 }
--- a/src/test/java/org/martenwell/gateway/RelaySelectorTest.java
+++ b/src/test/java/org/martenwell/gateway/RelaySelectorTest.java
@@ -17,7 +17,7 @@
     void testFirstCandidateIsChosenWhileItIsHeard() {
         selector.candidates(List.of("a", "b", "c"));
         for (long now = 0; now < 5_000; now += 100) {
-            selector.heard("a", now);
+            selector.recordRelay("a", now);
             assertThat(selector.choose("c", now)).contains("a");
         }
     }
@@ -37,7 +37,7 @@
         selector.candidates(List.of("a", "b"));
         selector.choose("b", 0);
         assertThat(selector.choose("b", SUSPECT_MILLIS)).contains("b");
-        selector.heard("a", SUSPECT_MILLIS + 5);
+        selector.recordRelay("a", SUSPECT_MILLIS + 5);
         assertThat(selector.choose("b", SUSPECT_MILLIS + 10)).contains("a");
     }
 
@@ -55,7 +55,7 @@
         selector.candidates(List.of("a"));
         assertThat(selector.choose("z", 0)).contains("a");
         assertThat(selector.choose("z", SUSPECT_MILLIS)).isEmpty();
-        selector.heard("a", SUSPECT_MILLIS + 1);
+        selector.recordRelay("a", SUSPECT_MILLIS + 1);
         assertThat(selector.choose("z", SUSPECT_MILLIS + 2)).contains("a");
     }
 }
--- a/src/test/java/org/martenwell/gateway/ReportTopologyTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportTopologyTest.java
@@ -62,7 +62,7 @@
         assertThat(topology.isRelay(0)).isFalse();
         topology.usedAsRelay(10);
         assertThat(topology.isRelay(11)).isTrue();
-        topology.heard(relay, 600);
+        topology.recordRelay(relay, 600);
         assertThat(topology.isRelay(600)).isFalse();
     }
 
--- a/src/test/java/org/martenwell/gateway/SendHistoryTest.java
+++ b/src/test/java/org/martenwell/gateway/SendHistoryTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against counting a request as new after each unreachable target, which would grant the
- * gateway more retries than its share.
+ * Guards against counting a request as new after each unreachable target, which would add too much
+ * to the retry budget.
  */
 class SendHistoryTest {
 
--- a/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetAvailabilityTest.java
@@ -20,8 +20,8 @@
 
 /**
  * Property test of the target table with random sequences of restarts, removals, drains and pauses,
- * reported by the directory, by peers and by responses of present and former incarnations. A target
- * accepts requests exactly if its present incarnation neither drains nor is paused.
+ * reported by the directory, by peers and by responses of current and former incarnations. A target
+ * accepts requests exactly if its current incarnation is neither draining nor paused.
  */
 final class TargetAvailabilityTest {
 
@@ -50,7 +50,7 @@
         for (int step = 0; step < STEPS; step++) {
             now += random.nextInt(300);
             step(random, "t" + random.nextInt(TARGETS));
-            assertThat(open()).isEqualTo(expected());
+            assertThat(available()).isEqualTo(expected());
         }
     }
 
@@ -64,7 +64,7 @@
         table =
                 new TargetTable(
                         Eventloop.builder().withTimeProvider(() -> now).withCurrentThread().build(),
-                        new TargetEndListener(target -> {}));
+                        new TargetCrashListener(target -> {}));
     }
 
     private void step(Random random, String id) {
@@ -73,7 +73,7 @@
             case 2 -> remove(id);
             case 3 -> {
                 String incarnation = id + "@" + random.nextInt(3);
-                table.markLeavingByPeer(incarnation, now);
+                table.markDrainingByPeer(incarnation, now);
                 draining.add(incarnation);
             }
             default -> receiveNotice(random);
@@ -98,7 +98,7 @@
         table.all().forEach(each -> everKnown.put(each.load().target().incarnation(), each.load()));
     }
 
-    /** Applies a notice of a present or former incarnation. */
+    /** Applies a notice of a current or former incarnation. */
     private void receiveNotice(Random random) {
         if (everKnown.isEmpty()) {
             return;
@@ -115,11 +115,11 @@
         }
     }
 
-    private Set<String> open() {
-        Set<String> open = new HashSet<>();
-        table.open("service", List.of(), now)
-                .forEach(each -> open.add(each.target().incarnation()));
-        return open;
+    private Set<String> available() {
+        Set<String> available = new HashSet<>();
+        table.available("service", List.of(), now)
+                .forEach(each -> available.add(each.target().incarnation()));
+        return available;
     }
 
     private Set<String> expected() {
--- a/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashDetectorTest.java
@@ -33,14 +33,14 @@
 
     private final List<String> crashed = new ArrayList<>();
 
-    private final AtomicInteger verdicts = new AtomicInteger();
+    private final AtomicInteger completedProbes = new AtomicInteger();
 
     private final TargetCrashDetector detector =
             new TargetCrashDetector(
                     thread.loop(), (suspect, incarnation) -> crashed.add(incarnation));
 
     private final TargetTable table =
-            new TargetTable(thread.loop(), new TargetEndListener(detector::targetCrashed));
+            new TargetTable(thread.loop(), new TargetCrashListener(detector::targetCrashed));
 
     @AfterEach
     void stop() {
@@ -51,7 +51,7 @@
     void testTargetThatRefusesConnectionsCrashed() {
         updateTable(target("a", 1, false));
         failAttempt("a");
-        await(() -> verdicts.get() == 1);
+        await(() -> completedProbes.get() == 1);
         assertThat(crashed()).containsExactly("a@1");
     }
 
@@ -60,17 +60,17 @@
         listen();
         updateTable(target("a", 1, false));
         failAttempt("a");
-        await(() -> verdicts.get() == 1);
+        await(() -> completedProbes.get() == 1);
         assertThat(crashed()).isEmpty();
     }
 
-    /** The probe of a gateway that was paused may reach the next incarnation. */
+    /** A delayed probe may reach the next incarnation. */
     @Test
     void testRestartedTargetCrashedThoughItAcceptsConnections() {
         listen();
         updateTable(target("a", 1, false));
         failAttempt("a");
-        await(() -> verdicts.get() == 1);
+        await(() -> completedProbes.get() == 1);
         updateTable(target("a", 2, false));
         assertThat(crashed()).containsExactly("a@1");
     }
@@ -80,7 +80,7 @@
         listen();
         updateTable(target("a", 1, false));
         failAttempt("a");
-        await(() -> verdicts.get() == 1);
+        await(() -> completedProbes.get() == 1);
         updateTable(target("a", 1, false), target("b", 2, false));
         assertThat(crashed()).containsExactly("a@1");
     }
@@ -91,7 +91,7 @@
         listen();
         updateTable(target("a", 1, false));
         failAttempt("a");
-        await(() -> verdicts.get() == 1);
+        await(() -> completedProbes.get() == 1);
         updateTable(target("a", 1, true));
         updateTable();
         assertThat(crashed()).isEmpty();
@@ -102,7 +102,7 @@
         updateTable(target("a", 1, false));
         run(() -> detector.attemptCancelled(known("a"), SUSPECT));
         failAttempt("a");
-        await(() -> verdicts.get() == 1);
+        await(() -> completedProbes.get() == 1);
         assertThat(crashed()).containsExactly("a@1", "a@1");
     }
 
@@ -113,7 +113,7 @@
     }
 
     private void failAttempt(String id) {
-        run(() -> detector.attemptFailed(known(id), SUSPECT, verdicts::incrementAndGet));
+        run(() -> detector.attemptFailed(known(id), SUSPECT, completedProbes::incrementAndGet));
     }
 
     private KnownTarget known(String id) {
--- a/src/test/java/org/martenwell/gateway/TargetEndListener.java
+++ b/src/test/java/org/martenwell/gateway/TargetCrashListener.java
@@ -5,8 +5,8 @@
 import org.martenwell.balance.NoticeSource;
 import org.martenwell.balance.TargetLoad;
 
-/** Listener that forwards only the end of targets, for tests. */
-record TargetEndListener(Consumer<KnownTarget> crashed) implements TargetTableListener {
+/** Listener for tests that forwards only crashes of targets. */
+record TargetCrashListener(Consumer<KnownTarget> crashed) implements TargetTableListener {
 
     @Override
     public void crashed(KnownTarget target) {
@@ -14,8 +14,8 @@
     }
 
     @Override
-    public void leaves(String incarnation, NoticeSource source) {}
+    public void draining(String incarnation, NoticeSource source) {}
 
     @Override
-    public void answered(TargetLoad target, HttpResponse head) {}
+    public void responseReceived(TargetLoad target, HttpResponse head) {}
 }
--- a/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetIncarnationTest.java
@@ -26,8 +26,8 @@
 import org.martenwell.share.ShareCounts;
 
 /**
- * Guards against a target that restarts under the same id before its directory entry expires being
- * credited with the requests and the prompt cache of its former incarnation.
+ * Guards against attributing the requests and the prompt cache of a former incarnation to a target
+ * that restarts under the same id before its directory entry expires.
  */
 final class TargetIncarnationTest {
 
@@ -55,7 +55,7 @@
         load().promptCache().put(PART, 100, 100_000);
         load().health().suspend(1, 60_000);
         updateDirectory(target(6, false));
-        assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
+        assertThat(load().totalLoad(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().promptCache().isEmpty()).isTrue();
         assertThat(load().health().isAvailable(1)).isTrue();
     }
@@ -68,7 +68,7 @@
         updateDirectory(target(6, false));
         load().sent(new RunningRequest(5, 7, 1, 0));
         former.ended(request);
-        assertThat(load().all(1)).isEqualTo(new LoadSums(1, 5, 7));
+        assertThat(load().totalLoad(1)).isEqualTo(new LoadSums(1, 5, 7));
     }
 
     @Test
@@ -76,17 +76,17 @@
         String former = incarnation();
         updateDirectory(target(6, false));
         receiver.apply(report(former, true));
-        assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
+        assertThat(load().totalLoad(1)).isEqualTo(LoadSums.NONE);
         assertThat(load().promptCache().isEmpty()).isTrue();
         assertThat(core.targets().draining()).isEmpty();
     }
 
     @Test
     void testDrainedTargetAcceptsRequestsAfterARestart() {
-        core.targets().markLeavingByPeer(incarnation(), 1);
+        core.targets().markDrainingByPeer(incarnation(), 1);
         updateDirectory(target(5, true));
         updateDirectory(target(6, false));
-        assertThat(core.targets().open(GatewayCores.SERVICE, List.of(), 1)).hasSize(1);
+        assertThat(core.targets().available(GatewayCores.SERVICE, List.of(), 1)).hasSize(1);
     }
 
     @Test
@@ -114,7 +114,7 @@
     void testEarlierStartTimeIsARestart() {
         load().sent(new RunningRequest(100, 100, 1, 0));
         updateDirectory(target(4, false));
-        assertThat(load().all(1)).isEqualTo(LoadSums.NONE);
+        assertThat(load().totalLoad(1)).isEqualTo(LoadSums.NONE);
     }
 
     /**
@@ -134,20 +134,20 @@
         boolean cached = false;
         Set<Long> draining = new HashSet<>();
         for (int step : steps) {
-            long born = first + step % 4;
+            long startMillis = first + step % 4;
             if (step < 4) {
-                loaded &= born == current;
-                cached &= born == current;
-                current = born;
-                updateDirectory(target(born, false));
+                loaded &= startMillis == current;
+                cached &= startMillis == current;
+                current = startMillis;
+                updateDirectory(target(startMillis, false));
             } else {
-                receiver.apply(report(target(born, false).incarnation(), true));
+                receiver.apply(report(target(startMillis, false).incarnation(), true));
                 // A report is complete: targets that it omits have no load.
-                loaded = born == current;
-                cached |= born == current;
-                draining.add(born);
+                loaded = startMillis == current;
+                cached |= startMillis == current;
+                draining.add(startMillis);
             }
-            assertThat(load().all(1).requests()).isEqualTo(loaded ? 1 : 0);
+            assertThat(load().totalLoad(1).requests()).isEqualTo(loaded ? 1 : 0);
             assertThat(load().promptCache().isEmpty()).isEqualTo(!cached);
             assertThat(core.targets().draining()).hasSize(draining.contains(current) ? 1 : 0);
         }
--- a/src/test/java/org/martenwell/gateway/TargetTableTest.java
+++ b/src/test/java/org/martenwell/gateway/TargetTableTest.java
@@ -12,8 +12,8 @@
 import org.martenwell.service.IpAddress;
 
 /**
- * Tests targets that a peer reports as draining. Guards against directory reads by every gateway
- * for each such target, although the directory's watch delivers the change itself.
+ * Tests targets that a peer reports as draining. Guards against every gateway reading the directory
+ * again for each such target, although the directory's watch delivers the change.
  */
 final class TargetTableTest {
 
@@ -23,17 +23,17 @@
     private final TargetTable table =
             new TargetTable(
                     Eventloop.builder().withCurrentThread().build(),
-                    new TargetEndListener(target -> {}));
+                    new TargetCrashListener(target -> {}));
 
     @BeforeEach
     void start() {
         table.update(Map.of("one", target("one", false), "two", target("two", false)));
-        table.markLeavingByPeer("one@1", 0);
+        table.markDrainingByPeer("one@1", 0);
     }
 
     @Test
     void testDrainingTargetAcceptsNoRequests() {
-        assertThat(table.open("service", List.of(), 0))
+        assertThat(table.available("service", List.of(), 0))
                 .extracting(load -> load.target().id())
                 .containsExactly("two");
         assertThat(table.draining()).containsExactly("one@1");
@@ -50,7 +50,7 @@
     void testDirectoryThatDoesNotConfirmIsReadAgainOnce() {
         assertThat(table.detectStaleDirectory(LAG_MILLIS)).isTrue();
         assertThat(table.detectStaleDirectory(LAG_MILLIS + 1)).isFalse();
-        table.markLeavingByPeer("one@1", LAG_MILLIS);
+        table.markDrainingByPeer("one@1", LAG_MILLIS);
         assertThat(table.detectStaleDirectory(3 * LAG_MILLIS)).isFalse();
     }
 
@@ -63,15 +63,15 @@
 
     /**
      * Guards against a long-lived target being evicted from the bounded map of availabilities,
-     * after which its draining was recorded in an object that nothing reads.
+     * after which its draining would be recorded in an unused object.
      */
     @Test
     void testEvictedTargetStillDrains() {
         for (int other = 0; other < 3_000; other++) {
-            table.markLeavingByPeer("other-" + other + "@1", 0);
+            table.markDrainingByPeer("other-" + other + "@1", 0);
         }
         table.update(Map.of("one", target("one", false), "two", target("two", true)));
-        assertThat(table.open("service", List.of(), 0)).isEmpty();
+        assertThat(table.available("service", List.of(), 0)).isEmpty();
         assertThat(table.draining()).containsExactlyInAnyOrder("one@1", "two@1");
     }
 
--- a/src/test/java/org/martenwell/gateway/UnlistedPeersTest.java
+++ b/src/test/java/org/martenwell/gateway/UnlistedPeersTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests which reports require that the directory is read again. */
+/** Tests which reports cause the directory to be read again. */
 final class UnlistedPeersTest {
 
     private final UnlistedPeers peers = new UnlistedPeers();
--- a/src/test/java/org/martenwell/prompt/SharedKeysTest.java
+++ b/src/test/java/org/martenwell/prompt/SharedKeysTest.java
@@ -11,8 +11,8 @@
     void testLeastRecentlyUsedKeysAreDiscarded() {
         SharedKeys keys = new SharedKeys();
         for (long key = 0; key < 20_000; key++) {
-            keys.seen(0);
-            keys.seen(key);
+            keys.add(0);
+            keys.add(key);
         }
         assertThat(keys.contains(0)).isTrue();
         assertThat(keys.contains(1)).isFalse();
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -73,19 +73,19 @@
      * @param mostCrashes The most crashes caused by a single harmful request.
      * @param allCrashes The crashes caused by all harmful requests.
      * @param lateCrashes The most crashes that a request caused more than 3 s after its third.
-     * @param rejected The number of harmless requests rejected.
+     * @param refused The number of harmless requests refused.
      * @param harmless The number of harmless requests that arrived.
-     * @param longestRejectionMillis The longest time for which a gateway rejected a harmless
-     *     request, in milliseconds.
+     * @param longestRefusalMillis The longest time for which a gateway refused a harmless request,
+     *     in milliseconds.
      * @param harmlessHeld The number of harmless requests that are quarantined at the end.
      */
     record Outcome(
             int mostCrashes,
             int allCrashes,
             int lateCrashes,
-            int rejected,
+            int refused,
             int harmless,
-            long longestRejectionMillis,
+            long longestRefusalMillis,
             int harmlessHeld) {}
 
     /** An action at a simulated time; events at the same time run in the order of creation. */
@@ -117,17 +117,17 @@
 
     private final Map<Integer, List<Long>> crashesByRequest = new HashMap<>();
 
-    private final Map<String, Long> rejectedSince = new HashMap<>();
+    private final Map<String, Long> refusedSince = new HashMap<>();
 
     private long now;
 
     private long order;
 
-    private int rejected;
+    private int refused;
 
     private int harmless;
 
-    private long longestRejectionMillis;
+    private long longestRefusalMillis;
 
     private QuarantineSimulation(Load load) {
         this.load = load;
@@ -178,7 +178,7 @@
                             .anyMatch(each -> each.state(fingerprint) == QuarantineState.HELD);
             held += heldAnywhere ? 1 : 0;
         }
-        return new Outcome(most, all, late, rejected, harmless, longestRejectionMillis, held);
+        return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, held);
     }
 
     private void schedule(long time, Runnable action) {
@@ -211,11 +211,11 @@
                 });
     }
 
-    /** Sends a request to a random target, unless its gateway rejects it or the target is down. */
+    /** Sends a request to a random target, unless its gateway refuses it or the target is down. */
     private void send(int request, int gateway, int attempt) {
         boolean sent = gateways.get(gateway).state(fingerprint(request)) == QuarantineState.FREE;
         if (request >= 0) {
-            countRejected(request, gateway, sent);
+            countRefused(request, gateway, sent);
         }
         Target target = targets.get(random.nextInt(targets.size()));
         if (!sent || !target.up) {
@@ -237,14 +237,14 @@
         }
     }
 
-    private void countRejected(int request, int gateway, boolean sent) {
+    private void countRefused(int request, int gateway, boolean sent) {
         String key = gateway + "/" + request;
         if (sent) {
-            rejectedSince.remove(key);
+            refusedSince.remove(key);
         } else {
-            rejected++;
-            long since = rejectedSince.computeIfAbsent(key, each -> now);
-            longestRejectionMillis = Math.max(longestRejectionMillis, now - since);
+            refused++;
+            long since = refusedSince.computeIfAbsent(key, each -> now);
+            longestRefusalMillis = Math.max(longestRefusalMillis, now - since);
         }
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulationTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulationTest.java
@@ -16,8 +16,8 @@
      */
     private static final int MAX_CRASHES = 5;
 
-    /** The longest time for which a gateway may reject a harmless request, in milliseconds. */
-    private static final long MAX_REJECTED_MILLIS = 1_000;
+    /** The longest time for which a gateway may refuse a harmless request, in milliseconds. */
+    private static final long MAX_REFUSED_MILLIS = 1_000;
 
     /** Each row: gateways, targets, harmful requests, requests per second, seed. */
     @ParameterizedTest
@@ -38,7 +38,7 @@
         assertThat(outcome.mostCrashes()).isLessThanOrEqualTo(MAX_CRASHES);
         assertThat(outcome.lateCrashes()).isZero();
         assertThat(outcome.harmlessHeld()).isZero();
-        assertThat(outcome.rejected()).isLessThanOrEqualTo(outcome.harmless() / 1_000);
-        assertThat(outcome.longestRejectionMillis()).isLessThanOrEqualTo(MAX_REJECTED_MILLIS);
+        assertThat(outcome.refused()).isLessThanOrEqualTo(outcome.harmless() / 1_000);
+        assertThat(outcome.longestRefusalMillis()).isLessThanOrEqualTo(MAX_REFUSED_MILLIS);
     }
 }
--- a/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesOfFleetTest.java
@@ -89,7 +89,8 @@
             Report report = reports.remove(0);
             for (int gateway = 0; gateway < gateways.size(); gateway++) {
                 if (gateway != report.from()) {
-                    gateways.get(gateway).peer("g" + report.from(), report.counts(), now);
+                    gateways.get(gateway)
+                            .applyPeerReport("g" + report.from(), report.counts(), now);
                 }
             }
         }
--- a/src/test/java/org/martenwell/share/FairSharesTest.java
+++ b/src/test/java/org/martenwell/share/FairSharesTest.java
@@ -41,10 +41,10 @@
     void testRefreshIntervalGrowsWithTheNumberOfPeers() {
         FairShares shares = new FairShares(WINDOW);
         for (int peer = 0; peer < 60; peer++) {
-            shares.peer("p" + peer, counts(Map.of("o", new ShareSums(100, 10, 10))), 0);
+            shares.applyPeerReport("p" + peer, counts(Map.of("o", new ShareSums(100, 10, 10))), 0);
         }
         assertThat(shares.use("o", 0, 600, 0).promised()).isEqualTo(1);
-        shares.peer("p0", counts(Map.of("o", new ShareSums(100, 610, 610))), 1);
+        shares.applyPeerReport("p0", counts(Map.of("o", new ShareSums(100, 610, 610))), 1);
         assertThat(shares.use("o", 0, 600, 50).promised()).isEqualTo(1);
         assertThat(shares.use("o", 0, 600, 100).promised()).isEqualTo(2);
     }
@@ -89,7 +89,7 @@
         shares.requested("a", 100, 0);
         Map<String, ShareSums> reported =
                 Map.of("a", new ShareSums(5_000, 900, 900), "b", new ShareSums(5_000, 0, 0));
-        shares.peer("p", counts(reported), 0);
+        shares.applyPeerReport("p", counts(reported), 0);
         assertThat(shares.use("a", 10, 1_000, 100).promised()).isGreaterThan(1);
         assertThat(shares.use("a", 10, 1_000, 3_000).promised()).isLessThan(1);
     }
@@ -110,7 +110,7 @@
         FairShares shares = new FairShares(WINDOW);
         shares.requested("a", 400, 0);
         shares.sent("a", 400, ShareTier.PROMISED, 0);
-        shares.peer("p", counts(Map.of("b", new ShareSums(500, 500, 500))), 0);
+        shares.applyPeerReport("p", counts(Map.of("b", new ShareSums(500, 500, 500))), 0);
         assertThat(shares.use("a", 10, 1_000, 300).tier()).isEqualTo(ShareTier.PROMISED);
     }
 
