--- a/src/main/java/org/martenwell/balance/GatewayReport.java
+++ b/src/main/java/org/martenwell/balance/GatewayReport.java
@@ -15,7 +15,7 @@
  * @param configurationVersion The configuration version that the gateway applies.
  * @param loads Its load on each target; targets without any of its requests are left out.
  * @param shares Its share counts; {@link ShareCounts#NONE} if this report has none.
- * @param placed The changes of targets' prompt caches since its last report.
+ * @param cacheUpdates The changes of targets' prompt caches since its last report.
  * @param leaving The incarnations of targets known to be draining.
  * @param quarantine The recent updates on quarantined requests; all of them in the first report on
  *     a connection.
@@ -26,7 +26,7 @@
         long configurationVersion,
         List<TargetLoadReport> loads,
         ShareCounts shares,
-        List<CachedPartUpdate> placed,
+        List<CachedPartUpdate> cacheUpdates,
         List<String> leaving,
         List<QuarantineUpdate> quarantine)
         implements PeerMessage {}
--- a/src/main/java/org/martenwell/gateway/ReportReceiver.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -40,7 +40,7 @@
         if (!report.shares().isEmpty()) {
             core.shares().applyPeerReport(report.gateway(), report.shares(), core.now());
         }
-        report.placed().forEach(this::updateCachedPart);
+        report.cacheUpdates().forEach(this::updateCachedPart);
         core.harmful().applyUpdates(report.quarantine());
         for (String incarnation : report.leaving()) {
             core.targets().markDrainingByPeer(incarnation, core.now());
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -40,8 +40,8 @@
             writer.number(each.sums().memoryTokens());
         }
         write(message.shares(), writer);
-        writer.count(message.placed().size());
-        for (CachedPartUpdate each : message.placed()) {
+        writer.count(message.cacheUpdates().size());
+        for (CachedPartUpdate each : message.cacheUpdates()) {
             writer.name(each.target());
             writer.number(each.key());
             writer.number(each.tokens());
