--- a/src/main/java/org/martenwell/balance/GatewayReport.java
+++ b/src/main/java/org/martenwell/balance/GatewayReport.java
@@ -16,7 +16,7 @@
  * @param loads Its load on each target; targets without any of its requests are left out.
  * @param shares Its share counts; {@link ShareCounts#NONE} if this report has none.
  * @param cacheUpdates The changes of targets' prompt caches since its last report.
- * @param leaving The incarnations of targets known to be draining.
+ * @param drainingTargets The incarnations of targets known to be draining.
  * @param quarantine The recent updates on quarantined requests; all of them in the first report on
  *     a connection.
  */
@@ -27,6 +27,6 @@
         List<TargetLoadReport> loads,
         ShareCounts shares,
         List<CachedPartUpdate> cacheUpdates,
-        List<String> leaving,
+        List<String> drainingTargets,
         List<QuarantineUpdate> quarantine)
         implements PeerMessage {}
--- a/src/main/java/org/martenwell/gateway/ReportReceiver.java
+++ b/src/main/java/org/martenwell/gateway/ReportReceiver.java
@@ -42,7 +42,7 @@
         }
         report.cacheUpdates().forEach(this::updateCachedPart);
         core.harmful().applyUpdates(report.quarantine());
-        for (String incarnation : report.leaving()) {
+        for (String incarnation : report.drainingTargets()) {
             core.targets().markDrainingByPeer(incarnation, core.now());
         }
     }
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -46,8 +46,8 @@
             writer.number(each.key());
             writer.number(each.tokens());
         }
-        writer.count(message.leaving().size());
-        for (String each : message.leaving()) {
+        writer.count(message.drainingTargets().size());
+        for (String each : message.drainingTargets()) {
             writer.name(each);
         }
         writer.count(message.quarantine().size());
