--- a/src/main/java/org/martenwell/balance/ReportBatch.java
+++ b/src/main/java/org/martenwell/balance/ReportBatch.java
@@ -19,7 +19,7 @@
      *
      * @return A batch with the mark and the same reports.
      */
-    public ReportBatch withPassedOn() {
+    public ReportBatch asForwarded() {
         return new ReportBatch(relay, true, form);
     }
 }
--- a/src/main/java/org/martenwell/gateway/RelayedReports.java
+++ b/src/main/java/org/martenwell/gateway/RelayedReports.java
@@ -49,7 +49,7 @@
      */
     void add(ReportBatch batch) {
         if (!batch.passedOn() && fromOtherDomains.size() < MAX_BATCHES) {
-            fromOtherDomains.add(batch.withPassedOn());
+            fromOtherDomains.add(batch.asForwarded());
         }
     }
 
