--- a/src/main/java/org/martenwell/balance/ReportBatch.java
+++ b/src/main/java/org/martenwell/balance/ReportBatch.java
@@ -8,11 +8,11 @@
  * this encoding.
  *
  * @param relay The name of the relay that collected the reports.
- * @param passedOn {@code true} if a second relay has forwarded the batch, so that it is not
+ * @param forwarded {@code true} if a second relay has forwarded the batch, so that it is not
  *     forwarded again.
  * @param form The encoded reports, read-only.
  */
-public record ReportBatch(String relay, boolean passedOn, ByteBuffer form) implements PeerMessage {
+public record ReportBatch(String relay, boolean forwarded, ByteBuffer form) implements PeerMessage {
 
     /**
      * Marks the batch as forwarded.
--- a/src/main/java/org/martenwell/gateway/RelayedReports.java
+++ b/src/main/java/org/martenwell/gateway/RelayedReports.java
@@ -48,7 +48,7 @@
      * @param batch The batch.
      */
     void add(ReportBatch batch) {
-        if (!batch.passedOn() && fromOtherDomains.size() < MAX_BATCHES) {
+        if (!batch.forwarded() && fromOtherDomains.size() < MAX_BATCHES) {
             fromOtherDomains.add(batch.asForwarded());
         }
     }
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -89,7 +89,7 @@
      */
     static void write(ReportBatch message, FieldWriter writer) throws IOException {
         writer.name(message.relay());
-        writer.flag(message.passedOn());
+        writer.flag(message.forwarded());
         writer.bytes(message.form());
     }
 
