--- a/src/main/java/org/martenwell/balance/ReportBatch.java
+++ b/src/main/java/org/martenwell/balance/ReportBatch.java
@@ -10,9 +10,9 @@
  * @param relay The name of the relay that collected the reports.
  * @param forwarded {@code true} if a second relay has forwarded the batch, so that it is not
  *     forwarded again.
- * @param form The encoded reports, read-only.
+ * @param encodedReports The encoded reports, read-only.
  */
-public record ReportBatch(String relay, boolean forwarded, ByteBuffer form) implements PeerMessage {
+public record ReportBatch(String relay, boolean forwarded, ByteBuffer encodedReports) implements PeerMessage {
 
     /**
      * Marks the batch as forwarded.
@@ -20,6 +20,6 @@
      * @return A batch with the mark and the same reports.
      */
     public ReportBatch asForwarded() {
-        return new ReportBatch(relay, true, form);
+        return new ReportBatch(relay, true, encodedReports);
     }
 }
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -90,7 +90,7 @@
     static void write(ReportBatch message, FieldWriter writer) throws IOException {
         writer.name(message.relay());
         writer.flag(message.forwarded());
-        writer.bytes(message.form());
+        writer.bytes(message.encodedReports());
     }
 
     /**
--- a/src/main/java/org/martenwell/peer/ReportBatches.java
+++ b/src/main/java/org/martenwell/peer/ReportBatches.java
@@ -40,8 +40,8 @@
      * @throws org.martenwell.error.MartenwellException If the batch is malformed.
      */
     public static List<GatewayReport> reports(ReportBatch batch) {
-        byte[] encoded = new byte[batch.form().remaining()];
-        batch.form().duplicate().get(encoded);
+        byte[] encoded = new byte[batch.encodedReports().remaining()];
+        batch.encodedReports().duplicate().get(encoded);
         List<GatewayReport> reports = new ArrayList<>();
         for (PeerMessage each : new MessageReader().read(encoded)) {
             if (each instanceof GatewayReport report) {
