--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -162,7 +162,7 @@
                 Math.min(route.timeoutMillis(), metadata.timeoutMillis().orElse(Long.MAX_VALUE));
         deadlineMillis = arrivedMillis + timeout;
         exchange.onDisconnect(this::callerDisconnected);
-        deadlineTimer = core.reactor().delayBackground(Math.max(1, leftMillis()), this::timedOut);
+        deadlineTimer = core.reactor().delayBackground(Math.max(1, remainingMillis()), this::timedOut);
         stallDetector = new StallDetector(core, route, this::targetSilent);
         identity =
                 new RequestIdentity(
@@ -338,7 +338,7 @@
                         exchange.request().headers(),
                         new ForwardMetadata(
                                 id,
-                                metadata.timeoutMillis().map(stated -> Math.max(1, leftMillis())),
+                                metadata.timeoutMillis().map(stated -> Math.max(1, remainingMillis())),
                                 organisation,
                                 relay.lastEventId().or(metadata::lastEventId),
                                 copyFrom.map(each -> each.target().address())));
@@ -517,7 +517,7 @@
      */
     private void retryUnreachable() {
         history.recordUnreachable();
-        if (history.mayTryAnotherTarget() && leftMillis() > 0) {
+        if (history.mayTryAnotherTarget() && remainingMillis() > 0) {
             trySend();
         } else {
             fail(ErrorKind.NO_TARGET, RETRY_CAPACITY_SECONDS);
@@ -526,7 +526,7 @@
 
     /** Returns whether the request may be retried, and if so takes the retry from the budget. */
     private boolean mayRetry() {
-        return history.attempts() < route.maxAttempts() && leftMillis() > 0 && core.takeRetry();
+        return history.attempts() < route.maxAttempts() && remainingMillis() > 0 && core.takeRetry();
     }
 
     private void timedOut() {
@@ -627,7 +627,7 @@
     }
 
     /** Returns the time until the deadline, in milliseconds, negative after it. */
-    private long leftMillis() {
+    private long remainingMillis() {
         return deadlineMillis - core.now();
     }
 
