--- a/src/main/java/org/martenwell/gateway/RequestDialect.java
+++ b/src/main/java/org/martenwell/gateway/RequestDialect.java
@@ -112,5 +112,5 @@
      * @param response The response's head.
      * @return {@code true} if the response carries the header that every target sets.
      */
-    boolean genuine(HttpResponse response);
+    boolean isFromTarget(HttpResponse response);
 }
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -355,7 +355,7 @@
             from.ignoreResponse();
             attempt = null;
             refusedByTarget(from, response.status().code());
-        } else if (!core.dialect().genuine(response)
+        } else if (!core.dialect().isFromTarget(response)
                 && response.status().code() < FIRST_REDIRECTION_STATUS) {
             from.cancel();
             attemptFailed(from, ResponseFailure.MALFORMED);
