--- a/src/main/java/org/martenwell/balance/ReportBatch.java
+++ b/src/main/java/org/martenwell/balance/ReportBatch.java
@@ -12,7 +12,8 @@
  *     forwarded again.
  * @param encodedReports The encoded reports, read-only.
  */
-public record ReportBatch(String relay, boolean forwarded, ByteBuffer encodedReports) implements PeerMessage {
+public record ReportBatch(String relay, boolean forwarded, ByteBuffer encodedReports)
+        implements PeerMessage {
 
     /**
      * Marks the batch as forwarded.
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -162,7 +162,8 @@
                 Math.min(route.timeoutMillis(), metadata.timeoutMillis().orElse(Long.MAX_VALUE));
         deadlineMillis = arrivedMillis + timeout;
         exchange.onDisconnect(this::callerDisconnected);
-        deadlineTimer = core.reactor().delayBackground(Math.max(1, remainingMillis()), this::timedOut);
+        deadlineTimer =
+                core.reactor().delayBackground(Math.max(1, remainingMillis()), this::timedOut);
         stallDetector = new StallDetector(core, route, this::targetSilent);
         identity =
                 new RequestIdentity(
@@ -338,7 +339,8 @@
                         exchange.request().headers(),
                         new ForwardMetadata(
                                 id,
-                                metadata.timeoutMillis().map(stated -> Math.max(1, remainingMillis())),
+                                metadata.timeoutMillis()
+                                        .map(stated -> Math.max(1, remainingMillis())),
                                 organisation,
                                 relay.lastEventId().or(metadata::lastEventId),
                                 copyFrom.map(each -> each.target().address())));
@@ -526,7 +528,9 @@
 
     /** Returns whether the request may be retried, and if so takes the retry from the budget. */
     private boolean mayRetry() {
-        return history.attempts() < route.maxAttempts() && remainingMillis() > 0 && core.takeRetry();
+        return history.attempts() < route.maxAttempts()
+                && remainingMillis() > 0
+                && core.takeRetry();
     }
 
     private void timedOut() {
