--- a/src/main/java/org/martenwell/balance/EngineReserve.java
+++ b/src/main/java/org/martenwell/balance/EngineReserve.java
@@ -72,7 +72,7 @@
      * Computes the number of reserved engines.
      *
      * @param engines The number of engines that accept requests.
-     * @param requiredEngines The number of engines that the prefills within shares keep busy.
+     * @param requiredEngines The number of engines that the prefills within shares occupy.
      * @return The number, which may exceed that of the engines; if at most half of them are
      *     required, at least one is left unreserved.
      */
--- a/src/main/java/org/martenwell/balance/UnreportedWork.java
+++ b/src/main/java/org/martenwell/balance/UnreportedWork.java
@@ -41,7 +41,7 @@
     /**
      * Records a request that this gateway sent.
      *
-     * @param workMillis The time for which it keeps its target busy, in milliseconds.
+     * @param workMillis The time for which it occupies its target, in milliseconds.
      * @param now The current time, in milliseconds.
      */
     public void sent(double workMillis, long now) {
--- a/src/main/java/org/martenwell/gateway/EngineRouting.java
+++ b/src/main/java/org/martenwell/gateway/EngineRouting.java
@@ -202,11 +202,11 @@
             core.shares().sent(demand.organisation(), demand.cost(), tier, core.now());
             charge = Optional.of(new ShareCharge(tier, core.now()));
         }
-        double promptMillis = core.targets().rate(service).millis(choice.prefillTokens());
+        double prefillMillis = core.targets().rate(service).millis(choice.prefillTokens());
         core.unreportedWork()
-                .sent(EngineChooser.workMillis(promptMillis, capacity.slots()), core.now());
+                .sent(EngineChooser.workMillis(prefillMillis, capacity.slots()), core.now());
         if (first && tier == ShareTier.PROMISED) {
-            core.reserve().sent(promptMillis, demand.cost());
+            core.reserve().sent(prefillMillis, demand.cost());
         }
         assumedEntries = Optional.of(AssumedCacheEntries.add(core, choice.load(), demand.chain()));
     }
--- a/src/main/java/org/martenwell/gateway/GatewayCore.java
+++ b/src/main/java/org/martenwell/gateway/GatewayCore.java
@@ -153,7 +153,7 @@
     }
 
     /** {@return the version of the active configuration, 0 if there is none} */
-    long version() {
+    long configurationVersion() {
         return configuration == null ? 0 : configuration.version();
     }
 
@@ -379,12 +379,12 @@
     }
 
     /** Counts a request as in progress. */
-    void begin() {
+    void beginRequest() {
         activeRequests++;
     }
 
     /** Counts a request as finished. */
-    void end() {
+    void endRequest() {
         activeRequests--;
     }
 
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -167,7 +167,7 @@
     }
 
     /**
-     * Records that a target crashed, as seen by a refused connection or by the directory.
+     * Records that a target crashed, as shown by a refused connection or by the directory.
      *
      * @param target The target.
      */
--- a/src/main/java/org/martenwell/gateway/LivePeers.java
+++ b/src/main/java/org/martenwell/gateway/LivePeers.java
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Returns whether this gateway is the owner of a target or a peer: the first of the live
-     * gateways by rendezvous hash. While gateways disagree on which of them are live, there may be
-     * two owners or none.
+     * Returns whether this gateway is the owner of a target or a peer: the live gateway with the
+     * highest rendezvous score. While gateways disagree on which of them are live, there may be two
+     * owners or none.
      *
      * @param target The id of the target or the name of the peer.
      * @param now The current time, in milliseconds.
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -65,9 +65,9 @@
 
     private final ReportBuilder reportBuilder;
 
-    private final ReportReceiver receiver;
+    private final ReportReceiver reportReceiver;
 
-    private final UnlistedPeers unlisted = new UnlistedPeers();
+    private final UnlistedPeers unlistedPeers = new UnlistedPeers();
 
     private final ReportTopology topology;
 
@@ -96,7 +96,7 @@
         this.name = settings.name();
         this.core = core;
         this.reportBuilder = new ReportBuilder(core, name, random.nextLong());
-        this.receiver = new ReportReceiver(core);
+        this.reportReceiver = new ReportReceiver(core);
         this.livePeers = new LivePeers(name);
         this.relayedReports = new RelayedReports(name);
         this.topology = new ReportTopology(name, settings.failureDomain());
@@ -173,12 +173,14 @@
         } else if (message instanceof ReportBatch batch) {
             receiveBatch(batch);
         } else if (message instanceof ConfigurationRequest request) {
-            if (core.version() > request.newerThan()) {
-                network.send(request.router(), new ConfigurationResponse(core.version(), document));
+            if (core.configurationVersion() > request.newerThan()) {
+                network.send(
+                        request.router(),
+                        new ConfigurationResponse(core.configurationVersion(), document));
             }
-        } else if (message instanceof ConfigurationResponse answer) {
-            if (answer.version() > core.version()) {
-                directory.applyForwardedConfiguration(answer.text());
+        } else if (message instanceof ConfigurationResponse response) {
+            if (response.version() > core.configurationVersion()) {
+                directory.applyForwardedConfiguration(response.text());
             }
         }
     }
@@ -199,7 +201,7 @@
      * @return {@code true} if it does.
      */
     private boolean sendsSnapshotTo(String peer) {
-        if (topology.relayed()) {
+        if (topology.usesRelays()) {
             return !livePeers.isLive(peer, core.now());
         }
         long own = RendezvousHash.score(name, peer);
@@ -217,7 +219,7 @@
      * @param report The report.
      */
     private void receiveDirect(GatewayReport report) {
-        if (topology.relayed()) {
+        if (topology.usesRelays()) {
             topology.usedAsRelay(core.now());
             relayedReports.add(report);
             relayUrgently(report);
@@ -253,13 +255,14 @@
         long now = core.now();
         String peer = report.gateway();
         livePeers.recordReport(peer, now);
-        if (unlisted.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
+        if (unlistedPeers.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
             directory.refreshMembers();
         }
-        if (catchUp.shouldRequest(report.configurationVersion(), core.version(), now)) {
+        if (catchUp.shouldRequest(
+                report.configurationVersion(), core.configurationVersion(), now)) {
             requestConfiguration(peer);
         }
-        receiver.apply(report);
+        reportReceiver.apply(report);
     }
 
     /**
@@ -309,8 +312,8 @@
         if (core.targets().detectStaleDirectory(core.now())) {
             directory.refresh();
         }
-        GatewayReport own = reportBuilder.next(topology.relayed());
-        if (!topology.relayed()) {
+        GatewayReport own = reportBuilder.next(topology.usesRelays());
+        if (!topology.usesRelays()) {
             network.broadcast(own);
         } else if (topology.isRelay(core.now())) {
             relayReports(own);
@@ -341,7 +344,7 @@
      * @param peer The peer's name.
      */
     private void requestConfiguration(String peer) {
-        ConfigurationRequest request = new ConfigurationRequest(name, core.version());
+        ConfigurationRequest request = new ConfigurationRequest(name, core.configurationVersion());
         if (!network.send(peer, request)) {
             network.send(topology.relay(core.now()), request);
         }
--- a/src/main/java/org/martenwell/gateway/ReportBuilder.java
+++ b/src/main/java/org/martenwell/gateway/ReportBuilder.java
@@ -44,8 +44,8 @@
     /**
      * Builds a regular report, with the changes of prompt caches since the last one.
      *
-     * @param largeFleet {@code true} to leave shares out of most reports. Peers keep the shares of
-     *     an earlier report if one has none.
+     * @param largeFleet {@code true} to omit shares from most reports. Peers then continue to use
+     *     those of an earlier report.
      * @return The report.
      */
     GatewayReport next(boolean largeFleet) {
@@ -94,7 +94,7 @@
         return new GatewayReport(
                 name,
                 incarnation,
-                core.version(),
+                core.configurationVersion(),
                 loads(),
                 shares,
                 cacheUpdates,
--- a/src/main/java/org/martenwell/gateway/ReportTopology.java
+++ b/src/main/java/org/martenwell/gateway/ReportTopology.java
@@ -108,20 +108,20 @@
      * {@return {@code true} if the fleet is too large for a mesh, so that reports go through
      * relays}
      */
-    boolean relayed() {
+    boolean usesRelays() {
         return size > MAX_MESH_SIZE;
     }
 
     /** {@return the report interval, in milliseconds} */
     long intervalMillis() {
-        return relayed()
+        return usesRelays()
                 ? Math.max(MIN_RELAYED_INTERVAL_MILLIS, INTERVAL_MILLIS_PER_MEMBER * size)
                 : MESH_INTERVAL_MILLIS;
     }
 
     /** {@return the mean age of the peers' reports, in milliseconds} */
     double ageMillis() {
-        return intervalMillis() * (relayed() ? RELAYED_AGE_INTERVALS : MESH_AGE_INTERVALS);
+        return intervalMillis() * (usesRelays() ? RELAYED_AGE_INTERVALS : MESH_AGE_INTERVALS);
     }
 
     /**
@@ -141,7 +141,7 @@
      * @return {@code true} if it is its domain's relay or other gateways report to it as one.
      */
     boolean isRelay(long now) {
-        return relayed() && (now < relayRoleUntilMillis || relay(now).equals(self));
+        return usesRelays() && (now < relayRoleUntilMillis || relay(now).equals(self));
     }
 
     /** {@return the names of the other gateways in this one's failure domain} */
@@ -176,7 +176,7 @@
      */
     Set<String> requiredPeers(long now) {
         Set<String> names = new HashSet<>();
-        if (!relayed()) {
+        if (!usesRelays()) {
             relays.values().forEach(each -> names.addAll(each.candidates()));
         } else if (isRelay(now)) {
             names.addAll(domainPeers());
--- a/src/main/java/org/martenwell/gateway/RequestDispatch.java
+++ b/src/main/java/org/martenwell/gateway/RequestDispatch.java
@@ -123,7 +123,7 @@
 
     /** Starts the dispatch, or refuses the request at once. */
     void start() {
-        core.begin();
+        core.beginRequest();
         Optional<GatewayConfiguration> configuration = core.configuration();
         if (core.closing()) {
             respond(ErrorKind.DRAINING, RETRY_ELSEWHERE_SECONDS);
@@ -612,7 +612,7 @@
     private void finish() {
         if (!over) {
             over = true;
-            core.end();
+            core.endRequest();
             core.queue().remove(this);
             core.harmful().end(this);
             if (deadlineTimer != null) {
--- a/src/main/java/org/martenwell/gateway/SendAttempt.java
+++ b/src/main/java/org/martenwell/gateway/SendAttempt.java
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Returns whether the attempt is complete.
+     * Returns whether the attempt is over.
      *
      * @return {@code true} if its response ended, failed or is no longer wanted.
      */
--- a/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
+++ b/src/main/java/org/martenwell/gateway/TargetCrashDetector.java
@@ -17,7 +17,7 @@
 
     /**
      * The time after a failed attempt within which a crash is attributed to its request, in
-     * milliseconds. A crashed target stays in the directory for about 4 s.
+     * milliseconds. The directory removes a crashed target after about 4 s.
      */
     private static final long FAILED_ATTEMPT_MILLIS = 6_000;
 
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Records that a target crashed, as seen by a refused connection or by the directory.
+     * Records that a target crashed, as shown by a refused connection or by the directory.
      *
      * @param target The target.
      */
--- a/src/main/java/org/martenwell/quarantine/Suspicion.java
+++ b/src/main/java/org/martenwell/quarantine/Suspicion.java
@@ -39,7 +39,7 @@
      */
     private static final long IGNORE_HOLDS_MILLIS = 60_000;
 
-    /** The time at which each crash was learnt, in milliseconds, by incarnation of the target. */
+    /** The time at which each crash became known, in milliseconds, by incarnation of the target. */
     private final Map<String, Long> crashes = new LinkedHashMap<>();
 
     /**
--- a/src/main/java/org/martenwell/share/MaxMinFairness.java
+++ b/src/main/java/org/martenwell/share/MaxMinFairness.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Max-min fair allocation: no demand gets more than it asks for, and demands that cannot be met in
- * full get equal shares.
+ * Max-min fair allocation: no allocation exceeds its demand, and demands that cannot be met in full
+ * get equal shares.
  */
 final class MaxMinFairness {
 
--- a/src/main/java/org/martenwell/share/SlidingSum.java
+++ b/src/main/java/org/martenwell/share/SlidingSum.java
@@ -70,11 +70,11 @@
      * @param now The current time, in milliseconds.
      */
     private void advance(long now) {
-        long present = now / bucketMillis;
-        long from = Math.max(newestBucket + 1, present - BUCKETS + 1);
-        for (long each = from; each <= present; each++) {
+        long currentBucket = now / bucketMillis;
+        long from = Math.max(newestBucket + 1, currentBucket - BUCKETS + 1);
+        for (long each = from; each <= currentBucket; each++) {
             sums[(int) Math.floorMod(each, (long) BUCKETS)] = 0;
         }
-        newestBucket = Math.max(newestBucket, present);
+        newestBucket = Math.max(newestBucket, currentBucket);
     }
 }
--- a/src/test/java/org/martenwell/balance/EngineReserveTest.java
+++ b/src/test/java/org/martenwell/balance/EngineReserveTest.java
@@ -17,7 +17,7 @@
 
     private final EngineReserve reserve = new EngineReserve();
 
-    /** Columns: engines, engines that prefills within shares keep busy, unreserved engines. */
+    /** Columns: engines, engines that prefills within shares occupy, unreserved engines. */
     @ParameterizedTest
     @CsvSource({
         "6, 0, 6",
--- a/src/test/java/org/martenwell/gateway/LivePeersTest.java
+++ b/src/test/java/org/martenwell/gateway/LivePeersTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void testEachTargetHasOneOwnerAmongConnectedGateways() {
-        List<LivePeers> fleet = NAMES.stream().map(LivePeersTest::knowingAll).toList();
+        List<LivePeers> fleet = NAMES.stream().map(LivePeersTest::connectedToAll).toList();
         for (String target : IntStream.range(0, 50).mapToObj(each -> "t-" + each).toList()) {
             assertThat(fleet.stream().filter(each -> each.owns(target, 100))).hasSize(1);
         }
@@ -21,13 +21,13 @@
 
     @Test
     void testTargetsOfASilentPeerMoveToTheOthers() {
-        LivePeers alone = knowingAll("a");
+        LivePeers alone = connectedToAll("a");
         for (String target : IntStream.range(0, 50).mapToObj(each -> "t-" + each).toList()) {
             assertThat(alone.owns(target, 5_000)).isTrue();
         }
     }
 
-    private static LivePeers knowingAll(String self) {
+    private static LivePeers connectedToAll(String self) {
         LivePeers live = new LivePeers(self);
         NAMES.stream()
                 .filter(each -> !each.equals(self))
--- a/src/test/java/org/martenwell/gateway/LoopLagLimiterTest.java
+++ b/src/test/java/org/martenwell/gateway/LoopLagLimiterTest.java
@@ -73,7 +73,7 @@
         assertThat(backlogMillis).isLessThan(125);
     }
 
-    /** Takes a number of samples, each with the given lag. */
+    /** Simulates a number of samples, each with the given lag. */
     private void run(int samples, long lagMillis) {
         if (nowMillis == 1_000) {
             loop.post(limiter::start);
--- a/src/test/java/org/martenwell/gateway/RelaySelectorTest.java
+++ b/src/test/java/org/martenwell/gateway/RelaySelectorTest.java
@@ -8,13 +8,13 @@
 /** Tests the selection of relays. */
 final class RelaySelectorTest {
 
-    /** Longer than a selected relay may be silent, in milliseconds. */
+    /** Longer than the silence after which a relay is suspected, in milliseconds. */
     private static final long SUSPECT_MILLIS = 701;
 
     private final RelaySelector selector = new RelaySelector();
 
     @Test
-    void testFirstCandidateIsChosenWhileItIsHeard() {
+    void testFirstCandidateIsChosenWhileItReports() {
         selector.candidates(List.of("a", "b", "c"));
         for (long now = 0; now < 5_000; now += 100) {
             selector.recordRelay("a", now);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void testSuspectedCandidateIsChosenAgainOnceItIsHeard() {
+    void testSuspectedCandidateIsChosenAgainOnceItReports() {
         selector.candidates(List.of("a", "b"));
         selector.choose("b", 0);
         assertThat(selector.choose("b", SUSPECT_MILLIS)).contains("b");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void testRestartedCandidateIsSuspectedUntilItIsHeard() {
+    void testRestartedCandidateIsSuspectedUntilItReports() {
         selector.candidates(List.of("a", "b", "c"));
         selector.choose("c", 0);
         selector.choose("c", SUSPECT_MILLIS);
--- a/src/test/java/org/martenwell/gateway/ReportTopologyTest.java
+++ b/src/test/java/org/martenwell/gateway/ReportTopologyTest.java
@@ -15,7 +15,7 @@
     @Test
     void testSmallFleetIsAMesh() {
         ReportTopology topology = topology("x-1", "x", 9);
-        assertThat(topology.relayed()).isFalse();
+        assertThat(topology.usesRelays()).isFalse();
         assertThat(topology.requiredPeers(0)).hasSize(8).doesNotContain("x-1");
         assertThat(topology.intervalMillis()).isEqualTo(40);
     }
