--- a/src/main/java/org/martenwell/balance/EngineReserve.java
+++ b/src/main/java/org/martenwell/balance/EngineReserve.java
@@ -27,7 +27,7 @@
      */
     private static final double INITIAL_TOKENS = 100_000;
 
-    /** The utilisation up to which at least one engine stays unreserved. */
+    /** The fraction of required engines up to which at least one engine stays unreserved. */
     private static final double SPARE_GUARANTEE_FRACTION = 0.5;
 
     /** The prefill time of requests within shares, as a decaying sum in milliseconds. */
@@ -72,7 +72,7 @@
      * Computes the number of reserved engines.
      *
      * @param engines The number of engines that accept requests.
-     * @param requiredEngines The number of engines that the prefills within shares keep busy.
+     * @param requiredEngines The number of engines that the prefills within shares occupy.
      * @return The number, which may exceed that of the engines; if at most half of them are
      *     required, at least one is left unreserved.
      */
--- a/src/main/java/org/martenwell/gateway/PeerReporter.java
+++ b/src/main/java/org/martenwell/gateway/PeerReporter.java
@@ -60,14 +60,14 @@
     /** Tracks the peers that reported recently. */
     private final LivePeers livePeers;
 
-    /** Detects gateways that ended without leaving the directory. */
-    private final DeadMemberDetector deadMembers = new DeadMemberDetector();
+    /** Detects gateways that terminated without removing their directory entry. */
+    private final DeadMemberDetector deadMemberDetector = new DeadMemberDetector();
 
     private final ReportBuilder reportBuilder;
 
-    private final ReportReceiver receiver;
+    private final ReportReceiver reportReceiver;
 
-    private final UnlistedPeers unlisted = new UnlistedPeers();
+    private final UnlistedPeers unlistedPeers = new UnlistedPeers();
 
     private final ReportTopology topology;
 
@@ -96,7 +96,7 @@
         this.name = settings.name();
         this.core = core;
         this.reportBuilder = new ReportBuilder(core, name, random.nextLong());
-        this.receiver = new ReportReceiver(core);
+        this.reportReceiver = new ReportReceiver(core);
         this.livePeers = new LivePeers(name);
         this.relayedReports = new RelayedReports(name);
         this.topology = new ReportTopology(name, settings.failureDomain());
@@ -173,12 +173,14 @@
         } else if (message instanceof ReportBatch batch) {
             receiveBatch(batch);
         } else if (message instanceof ConfigurationRequest request) {
-            if (core.version() > request.newerThan()) {
-                network.send(request.router(), new ConfigurationResponse(core.version(), document));
+            if (core.configurationVersion() > request.newerThan()) {
+                network.send(
+                        request.router(),
+                        new ConfigurationResponse(core.configurationVersion(), document));
             }
-        } else if (message instanceof ConfigurationResponse answer) {
-            if (answer.version() > core.version()) {
-                directory.applyForwardedConfiguration(answer.text());
+        } else if (message instanceof ConfigurationResponse response) {
+            if (response.version() > core.configurationVersion()) {
+                directory.applyForwardedConfiguration(response.text());
             }
         }
     }
@@ -192,14 +194,14 @@
 
     /**
      * Returns whether this gateway sends the contents of prompt caches to a peer that has just
-     * connected. In a mesh, where all gateways know nearly all of it, a few do, chosen by hash; a
-     * relay does if the peer has not reported recently.
+     * connected. In a mesh all gateways know nearly the same contents, so a few of them, chosen by
+     * hash, send them. A relay sends them if the peer has not reported recently.
      *
      * @param peer The peer's name.
      * @return {@code true} if it does.
      */
     private boolean sendsSnapshotTo(String peer) {
-        if (topology.relayed()) {
+        if (topology.usesRelays()) {
             return !livePeers.isLive(peer, core.now());
         }
         long own = RendezvousHash.score(name, peer);
@@ -212,12 +214,12 @@
     }
 
     /**
-     * Processes a report that arrived from the gateway that made it.
+     * Processes a report that arrived directly from its gateway.
      *
      * @param report The report.
      */
     private void receiveDirect(GatewayReport report) {
-        if (topology.relayed()) {
+        if (topology.usesRelays()) {
             topology.usedAsRelay(core.now());
             relayedReports.add(report);
             relayUrgently(report);
@@ -232,7 +234,7 @@
      */
     private void receiveBatch(ReportBatch batch) {
         long now = core.now();
-        topology.heard(batch.relay(), now);
+        topology.recordRelay(batch.relay(), now);
         if (topology.isRelay(now) && topology.inOtherDomain(batch.relay())) {
             relayedReports.add(batch);
         }
@@ -252,14 +254,15 @@
     private void receiveReport(GatewayReport report) {
         long now = core.now();
         String peer = report.gateway();
-        livePeers.heard(peer, now);
-        if (unlisted.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
+        livePeers.recordReport(peer, now);
+        if (unlistedPeers.joined(peer, report.incarnation(), addresses.containsKey(peer))) {
             directory.refreshMembers();
         }
-        if (catchUp.shouldRequest(report.configurationVersion(), core.version(), now)) {
+        if (catchUp.shouldRequest(
+                report.configurationVersion(), core.configurationVersion(), now)) {
             requestConfiguration(peer);
         }
-        receiver.apply(report);
+        reportReceiver.apply(report);
     }
 
     /**
@@ -304,13 +307,13 @@
     /** Sends this gateway's report to its peers or its relay. */
     private void sendReport() {
         connect();
-        // Not read for each draining target that a peer reports: the directory usually delivers the
-        // change itself soon after.
+        // Doesn't refresh for each draining target that a peer reports, since the directory usually
+        // delivers the change soon after.
         if (core.targets().detectStaleDirectory(core.now())) {
             directory.refresh();
         }
-        GatewayReport own = reportBuilder.next(topology.relayed());
-        if (!topology.relayed()) {
+        GatewayReport own = reportBuilder.next(topology.usesRelays());
+        if (!topology.usesRelays()) {
             network.broadcast(own);
         } else if (topology.isRelay(core.now())) {
             relayReports(own);
@@ -341,18 +344,18 @@
      * @param peer The peer's name.
      */
     private void requestConfiguration(String peer) {
-        ConfigurationRequest request = new ConfigurationRequest(name, core.version());
+        ConfigurationRequest request = new ConfigurationRequest(name, core.configurationVersion());
         if (!network.send(peer, request)) {
             network.send(topology.relay(core.now()), request);
         }
     }
 
-    /** Removes gateways from the directory that ended without leaving it. */
+    /** Removes the directory entries of dead gateways. */
     private void removeDeadMembers() {
         if (stopped) {
             return;
         }
-        for (String each : deadMembers.findDead(addresses.keySet(), livePeers, core.now())) {
+        for (String each : deadMemberDetector.findDead(addresses.keySet(), livePeers, core.now())) {
             core.log().changed("member-gone", each);
             directory.removeMember(each);
         }
--- a/src/main/java/org/martenwell/gateway/ReportTopology.java
+++ b/src/main/java/org/martenwell/gateway/ReportTopology.java
@@ -13,8 +13,9 @@
 /**
  * The routes of reports between gateways. A small fleet is a full mesh. In a large one, the
  * gateways of each failure domain report to one of them, the relay, which forwards their reports to
- * the gateways of its domain and to the relays of the other domains. Relays are chosen without an
- * election; a domain may have two for a moment, which is harmless because reports are idempotent.
+ * the gateways of its domain and to the relays of the other domains. Each gateway selects the
+ * relays by itself, without an election. A domain may have two relays for a moment, which is
+ * harmless because reports are idempotent.
  */
 final class ReportTopology {
 
@@ -34,8 +35,8 @@
     private static final double MESH_AGE_INTERVALS = 0.5;
 
     /**
-     * The mean age of a relayed report, in report intervals: half an interval each at its gateway
-     * and at two relays.
+     * The mean age of a relayed report, in report intervals: it waits half an interval at its
+     * gateway and at each of two relays.
      */
     private static final double RELAYED_AGE_INTERVALS = 1.5;
 
@@ -49,7 +50,7 @@
 
     private final String domain;
 
-    /** The choice of the relay by failure domain. */
+    /** The selector of the relay of each failure domain. */
     private final Map<String, RelaySelector> relays = new TreeMap<>();
 
     private int size;
@@ -90,8 +91,8 @@
      * @param relay The gateway's name.
      * @param now The current time, in milliseconds.
      */
-    void heard(String relay, long now) {
-        relays.values().forEach(each -> each.heard(relay, now));
+    void recordRelay(String relay, long now) {
+        relays.values().forEach(each -> each.recordRelay(relay, now));
     }
 
     /**
@@ -107,20 +108,20 @@
      * {@return {@code true} if the fleet is too large for a mesh, so that reports go through
      * relays}
      */
-    boolean relayed() {
+    boolean usesRelays() {
         return size > MAX_MESH_SIZE;
     }
 
     /** {@return the report interval, in milliseconds} */
     long intervalMillis() {
-        return relayed()
+        return usesRelays()
                 ? Math.max(MIN_RELAYED_INTERVAL_MILLIS, INTERVAL_MILLIS_PER_MEMBER * size)
                 : MESH_INTERVAL_MILLIS;
     }
 
-    /** {@return the mean age of what is known of peers, in milliseconds} */
+    /** {@return the mean age of the peers' reports, in milliseconds} */
     double ageMillis() {
-        return intervalMillis() * (relayed() ? RELAYED_AGE_INTERVALS : MESH_AGE_INTERVALS);
+        return intervalMillis() * (usesRelays() ? RELAYED_AGE_INTERVALS : MESH_AGE_INTERVALS);
     }
 
     /**
@@ -140,7 +141,7 @@
      * @return {@code true} if it is its domain's relay or other gateways report to it as one.
      */
     boolean isRelay(long now) {
-        return relayed() && (now < relayRoleUntilMillis || relay(now).equals(self));
+        return usesRelays() && (now < relayRoleUntilMillis || relay(now).equals(self));
     }
 
     /** {@return the names of the other gateways in this one's failure domain} */
@@ -175,7 +176,7 @@
      */
     Set<String> requiredPeers(long now) {
         Set<String> names = new HashSet<>();
-        if (!relayed()) {
+        if (!usesRelays()) {
             relays.values().forEach(each -> names.addAll(each.candidates()));
         } else if (isRelay(now)) {
             names.addAll(domainPeers());
--- a/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
+++ b/src/main/java/org/martenwell/peer/GatewayMessageCodec.java
@@ -40,14 +40,14 @@
             writer.number(each.sums().memoryTokens());
         }
         write(message.shares(), writer);
-        writer.count(message.placed().size());
-        for (CachedPartUpdate each : message.placed()) {
+        writer.count(message.cacheUpdates().size());
+        for (CachedPartUpdate each : message.cacheUpdates()) {
             writer.name(each.target());
             writer.number(each.key());
             writer.number(each.tokens());
         }
-        writer.count(message.leaving().size());
-        for (String each : message.leaving()) {
+        writer.count(message.drainingTargets().size());
+        for (String each : message.drainingTargets()) {
             writer.name(each);
         }
         writer.count(message.quarantine().size());
@@ -89,8 +89,8 @@
      */
     static void write(ReportBatch message, FieldWriter writer) throws IOException {
         writer.name(message.relay());
-        writer.flag(message.passedOn());
-        writer.bytes(message.form());
+        writer.flag(message.forwarded());
+        writer.bytes(message.encodedReports());
     }
 
     /**
--- a/src/test/java/org/martenwell/gateway/RelaySelectorTest.java
+++ b/src/test/java/org/martenwell/gateway/RelaySelectorTest.java
@@ -8,16 +8,16 @@
 /** Tests the selection of relays. */
 final class RelaySelectorTest {
 
-    /** Longer than a selected relay may be silent, in milliseconds. */
+    /** Longer than the silence after which a relay is suspected, in milliseconds. */
     private static final long SUSPECT_MILLIS = 701;
 
     private final RelaySelector selector = new RelaySelector();
 
     @Test
-    void testFirstCandidateIsChosenWhileItIsHeard() {
+    void testFirstCandidateIsChosenWhileItReports() {
         selector.candidates(List.of("a", "b", "c"));
         for (long now = 0; now < 5_000; now += 100) {
-            selector.heard("a", now);
+            selector.recordRelay("a", now);
             assertThat(selector.choose("c", now)).contains("a");
         }
     }
@@ -33,16 +33,16 @@
     }
 
     @Test
-    void testSuspectedCandidateIsChosenAgainOnceItIsHeard() {
+    void testSuspectedCandidateIsChosenAgainOnceItReports() {
         selector.candidates(List.of("a", "b"));
         selector.choose("b", 0);
         assertThat(selector.choose("b", SUSPECT_MILLIS)).contains("b");
-        selector.heard("a", SUSPECT_MILLIS + 5);
+        selector.recordRelay("a", SUSPECT_MILLIS + 5);
         assertThat(selector.choose("b", SUSPECT_MILLIS + 10)).contains("a");
     }
 
     @Test
-    void testRestartedCandidateIsSuspectedUntilItIsHeard() {
+    void testRestartedCandidateIsSuspectedUntilItReports() {
         selector.candidates(List.of("a", "b", "c"));
         selector.choose("c", 0);
         selector.choose("c", SUSPECT_MILLIS);
@@ -55,7 +55,7 @@
         selector.candidates(List.of("a"));
         assertThat(selector.choose("z", 0)).contains("a");
         assertThat(selector.choose("z", SUSPECT_MILLIS)).isEmpty();
-        selector.heard("a", SUSPECT_MILLIS + 1);
+        selector.recordRelay("a", SUSPECT_MILLIS + 1);
         assertThat(selector.choose("z", SUSPECT_MILLIS + 2)).contains("a");
     }
 }
