--- a/src/main/java/org/martenwell/daemon/AssignmentInput.java
+++ b/src/main/java/org/martenwell/daemon/AssignmentInput.java
@@ -6,11 +6,12 @@
 import org.martenwell.member.CoordinatorCandidate;
 
 /**
- * What the keepers of targets are assigned from.
+ * The input of an assignment of coordinators to targets, kept to skip an assignment if nothing
+ * changed.
  *
- * @param targets All targets.
- * @param candidates The routers that may keep targets.
- * @param members The names of all members.
+ * @param targets All targets of the active configuration.
+ * @param candidates The ready routers, which may coordinate targets.
+ * @param members The names of all members, ready or not.
  */
 record AssignmentInput(
         List<Target> targets, List<CoordinatorCandidate> candidates, Set<String> members) {}
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -76,95 +76,78 @@
 import org.martenwell.settings.RouterSettings;
 import org.martenwell.target.HttpTargetConnector;
 
-/** One router with all its parts, in one loop. */
+/** A router process. All parts run on one event loop, so they need no locks. */
 public final class RouterDaemon
         implements ManagedService, PeerListener, MessageSender, OperatedRouter {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(RouterDaemon.class);
 
-    /** The longest that a caller's connection takes for one message, in minutes. */
-    private static final long MESSAGE_MINUTES = 15;
+    /** The timeout for reading or writing one message on a caller's connection, in minutes. */
+    private static final long MESSAGE_TIMEOUT_MINUTES = 15;
 
-    /** How often a draining router looks whether it is done. */
-    private static final Duration IDLE_CHECK = Duration.ofMillis(50);
+    /** The interval at which a draining router checks for remaining requests. */
+    private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(50);
 
-    /** The loop. */
     private final NioReactor reactor;
 
-    /** The settings. */
     private final RouterSettings settings;
 
-    /** This router's incarnation. */
+    /** The start time in milliseconds, which tells this run of the router from earlier ones. */
     private final long incarnation;
 
-    /** Sends requests over connections that are used again. */
-    private final HttpCalls pooled;
+    /** The client that reuses its connections. */
+    private final HttpCalls pooledClient;
 
-    /** Sends requests over connections of their own. */
-    private final HttpCalls single;
+    /** The client that opens a connection for each request. */
+    private final HttpCalls singleUseClient;
 
-    /** The platform. */
     private final Platform platform;
 
-    /** The connections with peers. */
     private final PeerNetwork network;
 
-    /** Who is a member. */
     private final Membership membership;
 
-    /** The scheduling decisions. */
     private final FleetScheduler scheduler;
 
-    /** Watches targets. */
     private final TargetMonitor monitor;
 
-    /** The configuration in force. */
     private final ConfigurationStore store;
 
-    /** Follows the platform. */
     private final PlatformFollower follower;
 
-    /** Brings requests to targets. */
     private final RequestDispatcher dispatcher;
 
-    /** The claims of requests that must not run twice. */
+    /** The claims of requests with an idempotency key. */
     private final ClaimLedger ledger;
 
-    /** Decides whether requests are taken. */
     private final Readiness readiness;
 
-    /** Counts what happens. */
     private final RouterMetrics metrics = new RouterMetrics();
 
-    /** Does things now and then. */
     private final Ticker ticker;
 
-    /** Takes callers' requests. */
     private final HttpServer callerServer;
 
-    /** Takes operators' requests. */
     private final HttpServer operatorServer;
 
-    /** Changes the configuration. */
     private final ConfigurationApplier applier;
 
-    /** What keepers were last assigned from, or {@code null} if none were. */
-    private AssignmentInput assigned;
+    /** The input of the last assignment of coordinators, or {@code null} before the first one. */
+    private AssignmentInput lastAssignment;
 
-    /** The number of the last heartbeat. */
-    private long heartbeats;
+    /** The sequence number of the last heartbeat sent. */
+    private long heartbeatNumber;
 
-    /** Completes when the router has drained; {@code null} until then. */
-    private Promise<DrainReport> draining;
+    /** The result of the drain, or {@code null} if none was requested. */
+    private Promise<DrainReport> drainResult;
 
     /**
-     * Creates a router that does not run yet.
+     * Creates a router; {@link #start} opens its ports.
      *
-     * @param reactor The loop.
+     * @param reactor The event loop that runs all parts.
      * @param settings The settings.
-     * @param parameters The numbers that tune scheduling.
-     * @param seed Seeds what is random, such as jitter.
+     * @param parameters The parameters of scheduling.
+     * @param seed The seed of jitter and other random choices.
      */
     public RouterDaemon(
             NioReactor reactor,
@@ -176,18 +159,24 @@
         RouterLimits limits = settings.effectiveLimits();
         incarnation = reactor.currentTimeMillis();
         Random random = new Random(seed);
-        pooled = HttpCalls.pooled(reactor, limits.maxBodyBytes());
-        single = HttpCalls.single(reactor, limits.maxBodyBytes());
-        platform = new HttpPlatform(pooled, settings.platformAddress());
+        pooledClient = HttpCalls.pooled(reactor, limits.maxBodyBytes());
+        singleUseClient = HttpCalls.single(reactor, limits.maxBodyBytes());
+        platform = new HttpPlatform(pooledClient, settings.platformAddress());
         network =
                 new PeerNetwork(reactor, settings.peerAddress(), settings.peerKey(), random, this);
         membership = new Membership(settings.name(), MembershipParameters.DEFAULTS);
         scheduler = new FleetScheduler(reactor, settings.name(), incarnation, parameters, this);
-        HttpTargetConnector connector = new HttpTargetConnector(pooled, single);
+        HttpTargetConnector connector = new HttpTargetConnector(pooledClient, singleUseClient);
         monitor = new TargetMonitor(reactor, connector, scheduler, this);
-        store = new ConfigurationStore(this::inForce);
+        store = new ConfigurationStore(this::activate);
         follower =
-                new PlatformFollower(reactor, platform, store, this::watches, this::listed, random);
+                new PlatformFollower(
+                        reactor,
+                        platform,
+                        store,
+                        this::watchesPlatform,
+                        this::applyListedBoxes,
+                        random);
         readiness = new Readiness(reactor.currentTimeMillis());
         ticker = new Ticker(reactor);
         AdmissionControl control =
@@ -197,7 +186,7 @@
                         reactor, settings.name(), scheduler, connector, control, monitor, metrics);
         ledger = new ClaimLedger(platform, reactor::currentTimeMillis, random);
         applier = new ConfigurationApplier(reactor, settings.name(), platform, store, membership);
-        callerServer = callerServer(limits, control);
+        callerServer = createCallerServer(limits, control);
         operatorServer =
                 HttpServer.builder(reactor, new OperatorServlet(this, applier, settings))
                         .withListenAddress(IpAddress.of(settings.operatorAddress()))
@@ -212,7 +201,7 @@
                 .then(() -> Listening.start(operatorServer))
                 .then(() -> Listening.start(callerServer))
                 .then(follower::start)
-                .whenResult(this::startTicking);
+                .whenResult(this::startPeriodicTasks);
     }
 
     @Override
@@ -223,27 +212,27 @@
                 .then(() -> callerServer.close())
                 .then(() -> operatorServer.close())
                 .then(network::stop)
-                .then(pooled::stop)
-                .then(single::stop);
+                .then(pooledClient::stop)
+                .then(singleUseClient::stop);
     }
 
     @Override
     public Promise<DrainReport> drain() {
-        if (draining == null) {
+        if (drainResult == null) {
             LOGGER.info(LogEvent.of("drain").with("router", settings.name()).message());
             readiness.drain();
-            reassign();
-            beat();
+            reassignCoordinators();
+            broadcastHeartbeat();
             long deadline =
                     reactor.currentTimeMillis()
                             + settings.effectiveLimits().balancerMillis()
                             + settings.effectiveLimits().drainMillis();
-            draining =
+            drainResult =
                     Promises.delay(Duration.ofMillis(settings.effectiveLimits().balancerMillis()))
                             .whenResult(readiness::close)
                             .then(() -> awaitIdle(deadline));
         }
-        return draining;
+        return drainResult;
     }
 
     @Override
@@ -284,19 +273,14 @@
     }
 
     /**
-     * Returns the address where callers are served.
-     *
-     * @return The address, with the port that the system chose if the settings left it open.
+     * {@return the address that accepts callers' connections, with the port that the system chose
+     * if the settings leave it open}
      */
     public InetSocketAddress callerAddress() {
         return callerServer.getBoundAddresses().get(0);
     }
 
-    /**
-     * Returns the counters of traffic with peers.
-     *
-     * @return The counters.
-     */
+    /** {@return the counters of messages and bytes exchanged with peers} */
     public PeerTraffic traffic() {
         return network.traffic();
     }
@@ -320,7 +304,7 @@
     @Override
     public void received(PeerMessage message) {
         if (message instanceof Heartbeat heartbeat) {
-            received(heartbeat);
+            applyHeartbeat(heartbeat);
         } else if (message instanceof ServiceReport report) {
             scheduler.received(report);
         } else if (message instanceof SlotReport report) {
@@ -339,12 +323,7 @@
         }
     }
 
-    /**
-     * Takes in a peer's heartbeat.
-     *
-     * @param heartbeat The heartbeat.
-     */
-    private void received(Heartbeat heartbeat) {
+    private void applyHeartbeat(Heartbeat heartbeat) {
         boolean changed = membership.applyHeartbeat(heartbeat, reactor.currentTimeMillis());
         if (heartbeat.configurationVersion() > store.version()) {
             network.send(
@@ -358,18 +337,11 @@
                             .with("ready", heartbeat.ready())
                             .message());
             network.peers(membership.addresses());
-            reassign();
+            reassignCoordinators();
         }
     }
 
-    /**
-     * Creates the server for callers.
-     *
-     * @param limits The limits.
-     * @param control Bounds rates and waiting.
-     * @return The server.
-     */
-    private HttpServer callerServer(RouterLimits limits, AdmissionControl control) {
+    private HttpServer createCallerServer(RouterLimits limits, AdmissionControl control) {
         RequestAdmission admission =
                 new RequestAdmission(reactor, this::requireConfiguration, control);
         CallerServlet servlet =
@@ -386,7 +358,7 @@
         return HttpServer.builder(reactor, servlet)
                 .withListenAddress(IpAddress.of(settings.callerAddress()))
                 .withMaxBodySize(limits.maxBodyBytes())
-                .withReadWriteTimeout(Duration.ofMinutes(MESSAGE_MINUTES))
+                .withReadWriteTimeout(Duration.ofMinutes(MESSAGE_TIMEOUT_MINUTES))
                 .withAcceptFilter(
                         (address, local, remote, secure) ->
                                 this.callerServer != null
@@ -395,73 +367,67 @@
                 .build();
     }
 
-    /** Starts what is done now and then. */
-    private void startTicking() {
+    private void startPeriodicTasks() {
         RouterTimes times = RouterTimes.DEFAULTS;
-        ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis(), this::beat);
-        ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis() / 2, this::expire);
+        ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis(), this::broadcastHeartbeat);
+        ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis() / 2, this::expireMembers);
         ticker.every(times.countersMillis(), scheduler::exchangeCounters);
         ticker.every(times.maintainMillis(), scheduler::maintain);
         ticker.every(times.meterMillis(), dispatcher::tick);
         ticker.every(times.pollMillis(), monitor::poll);
-        settings.seedPeers().ifPresent(this::seed);
+        settings.seedPeers().ifPresent(this::connectToSeedPeers);
     }
 
     /**
-     * Calls the peers named in the settings, until the platform's list or their heartbeats tell
-     * more.
+     * Connects to the peers named in the settings; the platform's list and heartbeats replace them
+     * later.
      *
-     * @param addresses Their addresses.
+     * @param addresses The addresses, possibly with this router's own.
      */
-    private void seed(List<String> addresses) {
+    private void connectToSeedPeers(List<String> addresses) {
         network.peers(
                 addresses.stream()
                         .filter(address -> !address.equals(settings.peerAddress()))
                         .collect(Collectors.toMap(address -> address, address -> address)));
     }
 
-    /** Tells all peers of this router. */
-    private void beat() {
+    private void broadcastHeartbeat() {
         network.broadcast(heartbeat());
     }
 
-    /**
-     * Builds the next heartbeat.
-     *
-     * @return The heartbeat.
-     */
     private Heartbeat heartbeat() {
-        heartbeats++;
+        heartbeatNumber++;
         return new Heartbeat(
                 settings.name(),
                 incarnation,
-                heartbeats,
+                heartbeatNumber,
                 settings.peerAddress(),
                 settings.failureDomain(),
                 ready(),
                 store.version());
     }
 
-    /** Suspects and removes members whose heartbeats are late. */
-    private void expire() {
+    /** Removes members whose heartbeats are overdue and updates the router's readiness. */
+    private void expireMembers() {
         long now = reactor.currentTimeMillis();
         MembershipChange change = membership.expire(now);
         Set<String> listed = membership.listedRouters();
-        long heard = listed.stream().filter(name -> membership.find(name).isPresent()).count();
-        readiness.contacts(follower.answeredAt(), listed.size(), (int) heard, now);
+        long joined = listed.stream().filter(name -> membership.find(name).isPresent()).count();
+        readiness.contacts(follower.answeredAt(), listed.size(), (int) joined, now);
         if (change.hasChanges()) {
             LOGGER.info(LogEvent.of("members").with("removed", change.removed()).message());
             scheduler.removed(change.removed());
-            reassign();
+            reassignCoordinators();
         }
     }
 
     /**
-     * Takes in the platform's list.
+     * Applies the boxes that the platform lists: routers become expected members, draining targets
+     * get no new requests.
      *
-     * @param boxes The boxes.
+     * @param boxes All boxes of the fleet.
      */
-    private void listed(List<Box> boxes) {
+    private void applyListedBoxes(List<Box> boxes) {
         membership.replaceListedRouters(boxes);
         network.peers(membership.addresses());
         monitor.listed(
@@ -472,19 +438,16 @@
                         .collect(Collectors.toSet()));
     }
 
-    /**
-     * Puts a configuration in force.
-     *
-     * @param configuration The configuration.
-     */
-    private void inForce(ActiveConfiguration configuration) {
+    private void activate(ActiveConfiguration configuration) {
         scheduler.configure(configuration);
-        reassign();
-        beat();
+        reassignCoordinators();
+        broadcastHeartbeat();
     }
 
-    /** Assigns keepers to targets anew, if targets or members changed. */
-    private void reassign() {
+    /**
+     * Assigns coordinators to targets if the targets, the candidates or the members have changed.
+     */
+    private void reassignCoordinators() {
         if (store.active().isEmpty()) {
             return;
         }
@@ -504,10 +467,10 @@
             }
         }
         AssignmentInput input = new AssignmentInput(targets, candidates, membership.names());
-        if (input.equals(assigned)) {
+        if (input.equals(lastAssignment)) {
             return;
         }
-        assigned = input;
+        lastAssignment = input;
         Map<String, CoordinatorReference> coordinators =
                 CoordinatorAssignment.INSTANCE.assign(targets, candidates);
         scheduler.assign(targets, coordinators, membership.names());
@@ -515,25 +478,26 @@
     }
 
     /**
-     * Returns whether this router watches the platform for its failure domain.
+     * Checks whether this router is one of those that watch the platform for their failure domain.
      *
-     * @return {@code true} if it does.
+     * @return {@code true} if it is.
      */
-    private boolean watches() {
-        List<String> domain = new ArrayList<>();
-        domain.add(settings.name());
+    private boolean watchesPlatform() {
+        List<String> routersOfDomain = new ArrayList<>();
+        routersOfDomain.add(settings.name());
         for (Member member : membership.others().values()) {
             if (member.heartbeat().failureDomain().equals(settings.failureDomain())) {
-                domain.add(member.name());
+                routersOfDomain.add(member.name());
             }
         }
-        return WatcherSelection.INSTANCE.watches(settings.name(), domain);
+        return WatcherSelection.INSTANCE.watches(settings.name(), routersOfDomain);
     }
 
     /**
-     * Returns the configuration in force, or throws an exception if no requests are taken.
+     * Returns the active configuration.
      *
      * @return The configuration.
+     * @throws org.martenwell.error.MartenwellException If the router doesn't accept requests.
      */
     private ActiveConfiguration requireConfiguration() {
         readiness.requireOpen(store.active().isPresent(), reactor.currentTimeMillis());
@@ -541,32 +505,26 @@
     }
 
     /**
-     * Waits until nothing runs and nothing waits.
+     * Waits until no request is running or waiting.
      *
-     * @param deadline When to stop waiting.
-     * @return What was still there.
+     * @param deadline The time at which to stop waiting, in milliseconds.
+     * @return The requests that remain, none if the deadline wasn't reached.
      */
     private Promise<DrainReport> awaitIdle(long deadline) {
         return Promises.repeat(
                         () -> {
-                            boolean late = reactor.currentTimeMillis() >= deadline;
-                            return present().clean() || late
+                            boolean expired = reactor.currentTimeMillis() >= deadline;
+                            return remainingRequests().clean() || expired
                                     ? Promise.of(false)
-                                    : Promises.delay(IDLE_CHECK).map(any -> true);
+                                    : Promises.delay(IDLE_CHECK_INTERVAL).map(any -> true);
                         })
-                .map(any -> present());
+                .map(any -> remainingRequests());
     }
 
-    /**
-     * Returns what is still there.
-     *
-     * @return The requests that run and wait.
-     */
-    private DrainReport present() {
+    private DrainReport remainingRequests() {
         return new DrainReport(scheduler.slots().running(), scheduler.slots().waiting());
     }
 
-    /** Registers the numbers that are read when asked for. */
     private void registerGauges() {
         metrics.gauge("configuration_version", store::version);
         metrics.gauge("members", () -> membership.names().size());
--- a/src/main/java/org/martenwell/daemon/package-info.java
+++ b/src/main/java/org/martenwell/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** Assembles a router's parts into one process. */
+/** The router process, which connects the parts of a router on one event loop. */
 package org.martenwell.daemon;
--- a/src/main/java/org/martenwell/operator/OperatedRouter.java
+++ b/src/main/java/org/martenwell/operator/OperatedRouter.java
@@ -7,43 +7,34 @@
 import org.martenwell.router.RouterMetrics;
 import org.martenwell.router.RouterStatus;
 
-/** A router as operators see it. */
+/** The operations of a router that its operator port offers. */
 public interface OperatedRouter {
 
     /**
-     * Returns whether the balancer should send requests here.
+     * Checks whether the load balancer should send requests to this router.
      *
      * @return {@code true} if it should.
      */
     boolean ready();
 
-    /**
-     * Returns what operators see of this router.
-     *
-     * @return The status.
-     */
+    /** {@return the router's current status, as the path {@code /status} shows it} */
     RouterStatus status();
 
-    /**
-     * Returns the metrics.
-     *
-     * @return The metrics.
-     */
+    /** {@return the metrics, whose registry the path {@code /metrics} exports} */
     RouterMetrics metrics();
 
     /**
-     * Returns the configuration as it is stored, with its version.
-     *
-     * @return The configuration or empty if none is in force.
+     * {@return the stored text of the active configuration with its version, or empty if none is
+     * active}
      */
     Optional<ConfigurationAnswer> configuration();
 
     /**
-     * Stops taking requests and waits for those that run: first the router says that it is not
-     * ready but still takes requests until the balancer had time to notice, then it refuses new
-     * ones, and then it waits for the rest.
+     * Drains the router. It first reports that it is not ready but still accepts requests, so that
+     * the load balancer has time to notice; then it refuses new requests and waits for the others.
+     * Repeated calls return the same result.
      *
-     * @return What was cut off at the deadline, once drained.
+     * @return The requests that remained at the deadline, once the router has drained.
      */
     Promise<DrainReport> drain();
 }
--- a/src/main/java/org/martenwell/operator/OperatorServlet.java
+++ b/src/main/java/org/martenwell/operator/OperatorServlet.java
@@ -15,33 +15,31 @@
 import org.martenwell.router.ErrorBody;
 import org.martenwell.settings.RouterSettings;
 
-/** Answers operators' requests. What changes anything needs the operators' token. */
+/**
+ * Serves the operators' HTTP interface. Requests that change the router need the operators' token.
+ */
 public final class OperatorServlet implements AsyncServlet {
 
-    /** Names the version that a change is based on. */
+    /** The request header with the configuration version that a change is based on. */
     public static final String BASE_VERSION = "X-Base-Version";
 
-    /** Names the version of an answer. */
+    /** The response header with the version of the returned configuration. */
     public static final String VERSION = "X-Version";
 
-    /** Starts the header that carries the token. */
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
-    /** The router. */
     private final OperatedRouter router;
 
-    /** Changes the configuration. */
     private final ConfigurationApplier applier;
 
-    /** The settings. */
     private final RouterSettings settings;
 
     /**
      * Creates a servlet.
      *
-     * @param router The router.
-     * @param applier Changes the configuration.
-     * @param settings The settings.
+     * @param router The router to inspect and drain.
+     * @param applier Checks and stores configurations.
+     * @param settings The settings, which hold the operators' token.
      */
     public OperatorServlet(
             OperatedRouter router, ConfigurationApplier applier, RouterSettings settings) {
@@ -58,15 +56,9 @@
         } catch (MartenwellException refusal) {
             response = Promise.ofException(refusal);
         }
-        return response.then(Promise::of, exception -> Promise.of(failed(exception)));
+        return response.then(Promise::of, exception -> Promise.of(errorResponse(exception)));
     }
 
-    /**
-     * Answers a request by its path and method.
-     *
-     * @param request The request.
-     * @return The response.
-     */
     private Promise<HttpResponse> route(HttpRequest request) {
         String route = request.getMethod() + " " + request.getPath();
         return switch (route) {
@@ -84,15 +76,10 @@
             }
             default ->
                     throw MartenwellException.of(
-                            ErrorKind.UNKNOWN_PATH, "Nothing is at " + route + ".");
+                            ErrorKind.UNKNOWN_PATH, "Unknown method or path: " + route + ".");
         };
     }
 
-    /**
-     * Answers with the configuration as it is stored.
-     *
-     * @return The response.
-     */
     private HttpResponse configuration() {
         return router.configuration()
                 .map(
@@ -106,21 +93,21 @@
                 .orElseThrow(
                         () ->
                                 MartenwellException.of(
-                                        ErrorKind.NOT_READY, "No configuration is in force."));
+                                        ErrorKind.NOT_READY, "No configuration is active."));
     }
 
     /**
-     * Applies a configuration.
+     * Applies the configuration in a request's body, if its base version is still current.
      *
-     * @param request The request.
-     * @return The response.
+     * @param request The request, with the token and the base version.
+     * @return The response, after the routers have applied the configuration or the wait has ended.
      */
     private Promise<HttpResponse> apply(HttpRequest request) {
         requireToken(request);
         String base = request.getHeader(HttpHeaders.of(BASE_VERSION));
         if (base == null || !base.matches("[0-9]{1,18}")) {
             throw MartenwellException.of(
-                    ErrorKind.MALFORMED_REQUEST, BASE_VERSION + " must name a version.");
+                    ErrorKind.MALFORMED_REQUEST, BASE_VERSION + " must be a version number.");
         }
         return request.loadBody()
                 .map(body -> body.getString(StandardCharsets.UTF_8))
@@ -129,13 +116,15 @@
     }
 
     /**
-     * Throws an exception if a request does not carry the operators' token.
+     * Throws an exception if a request doesn't carry the operators' token. The comparison takes
+     * constant time, so that its duration reveals nothing about the token.
      *
      * @param request The request.
      */
     private void requireToken(HttpRequest request) {
         String header = request.getHeader(HttpHeaders.AUTHORIZATION);
-        byte[] expected = (BEARER + settings.operatorToken()).getBytes(StandardCharsets.UTF_8);
+        byte[] expected =
+                (BEARER_PREFIX + settings.operatorToken()).getBytes(StandardCharsets.UTF_8);
         byte[] given = (header == null ? "" : header).getBytes(StandardCharsets.UTF_8);
         if (!MessageDigest.isEqual(expected, given)) {
             throw MartenwellException.of(
@@ -143,34 +132,15 @@
         }
     }
 
-    /**
-     * Builds a response in JSON.
-     *
-     * @param value The value.
-     * @return The response.
-     */
     private static HttpResponse json(Object value) {
         return HttpResponse.ok200().withJson(Json.print(value) + "\n").build();
     }
 
-    /**
-     * Builds a response in plain text.
-     *
-     * @param status The status.
-     * @param body The text.
-     * @return The response.
-     */
     private static HttpResponse text(int status, String body) {
         return HttpResponse.ofCode(status).withPlainText(body).build();
     }
 
-    /**
-     * Builds the response of a request that failed.
-     *
-     * @param exception Why.
-     * @return The response.
-     */
-    private static HttpResponse failed(Exception exception) {
+    private static HttpResponse errorResponse(Exception exception) {
         MartenwellException failure =
                 exception instanceof MartenwellException known
                         ? known
--- a/src/main/java/org/martenwell/operator/package-info.java
+++ b/src/main/java/org/martenwell/operator/package-info.java
@@ -1,2 +1,4 @@
-/** What operators see: health, readiness, metrics, status and configuration. */
+/**
+ * The HTTP interface for operators: health, readiness, metrics, status, configuration and drain.
+ */
 package org.martenwell.operator;
--- a/src/test/java/org/martenwell/daemon/BadInputTest.java
+++ b/src/test/java/org/martenwell/daemon/BadInputTest.java
@@ -19,7 +19,10 @@
 import org.martenwell.service.IpAddress;
 import org.martenwell.standin.GenerationState;
 
-/** Each bad input gets its documented answer while a neighbour's stream goes on undisturbed. */
+/**
+ * Sends invalid requests. Each must get its documented response and must not disturb another
+ * organisation's stream.
+ */
 class BadInputTest {
 
     private static final Charset UTF_8 = StandardCharsets.UTF_8;
@@ -27,7 +30,7 @@
     private static DemoFleet fleet;
     private static String router;
     private final TestCaller caller = TestCaller.of("clinic-0");
-    private CompletableFuture<HttpResponse<String>> neighbour;
+    private CompletableFuture<HttpResponse<String>> concurrentStream;
 
     @BeforeAll
     static void startFleet() {
@@ -43,13 +46,13 @@
     }
 
     @BeforeEach
-    void startNeighbour() {
-        neighbour = TestCaller.of("clinic-1").chatLater(router, true, "neighbour");
+    void startConcurrentStream() {
+        concurrentStream = TestCaller.of("clinic-1").chatLater(router, true, "neighbour");
     }
 
     @AfterEach
-    void checkNeighbour() {
-        assertThat(neighbour.join().body()).endsWith("data: [DONE]\n\n");
+    void checkConcurrentStream() {
+        assertThat(concurrentStream.join().body()).endsWith("data: [DONE]\n\n");
     }
 
     @Test
@@ -75,13 +78,13 @@
     }
 
     @Test
-    void testWrongKey() {
+    void testUnknownKey() {
         HttpResponse<String> response = new TestCaller("wrong").chat(router, true, "never runs");
         assertRefused(response, 401, "unauthenticated");
     }
 
     @Test
-    void testBodyThatIsNotJson() {
+    void testMalformedJson() {
         HttpResponse<String> response =
                 caller.post(router, "/v1/completions", "{\"model\":".getBytes(UTF_8));
         assertRefused(response, 400, "malformed_request");
@@ -95,11 +98,11 @@
     }
 
     @Test
-    void testBodyOverTheLimit() {
+    void testBodyBeyondLimit() {
         assertThat(
-                        raw(
+                        exchangeRaw(
                                 "POST /v1/completions HTTP/1.1\r\n"
-                                        + key()
+                                        + requestHeaders()
                                         + "Content-Length: 99999999\r\n\r\n"))
                 .startsWith("HTTP/1.1 413")
                 .contains("body_too_large");
@@ -109,51 +112,53 @@
     void testTwoContentLengths() {
         String request =
                 "POST /v1/completions HTTP/1.1\r\n"
-                        + key()
+                        + requestHeaders()
                         + "Content-Length: 2\r\nContent-Length: 3\r\n\r\n{} ";
-        assertThat(raw(request)).startsWith("HTTP/1.1 400").contains("malformed_request");
+        assertThat(exchangeRaw(request)).startsWith("HTTP/1.1 400").contains("malformed_request");
     }
 
     @Test
-    void testMegabyteOfHeaders() {
+    void testSingleHeaderBeyondLimit() {
         String request =
                 "GET /v1/models HTTP/1.1\r\n" + "X-Long: " + "x".repeat(1 << 20) + "\r\n\r\n";
-        // The rest of the headers is never read, so a reset may overtake the answer.
-        assertThat(raw(request)).matches("(?s)|HTTP/1.1 400.*");
+        // The router doesn't read the remaining headers, so a reset may discard the response.
+        assertThat(exchangeRaw(request)).matches("(?s)|HTTP/1.1 400.*");
     }
 
     @Test
-    void testManyHeaders() {
+    void testTotalOfHeadersBeyondLimit() {
         StringBuilder request = new StringBuilder("GET /v1/models HTTP/1.1\r\n");
         for (int index = 0; index < 20; index++) {
             request.append("X-H").append(index).append(": ");
             request.append("x".repeat(4_000)).append("\r\n");
         }
-        assertThat(raw(request + "\r\n")).startsWith("HTTP/1.1 431").contains("headers_too_large");
+        assertThat(exchangeRaw(request + "\r\n"))
+                .startsWith("HTTP/1.1 431")
+                .contains("headers_too_large");
     }
 
     @Test
-    void testTruncatedBodyNeverRuns() throws IOException {
+    void testTruncatedBodyIsNotForwarded() throws IOException {
         int before = fleet.runs().size();
         try (Socket socket = connect()) {
             String request =
                     "POST /v1/completions HTTP/1.1\r\n"
-                            + key()
+                            + requestHeaders()
                             + "Content-Length: 500\r\n\r\n{\"mo";
             socket.getOutputStream().write(request.getBytes(UTF_8));
         }
-        neighbour.join();
+        concurrentStream.join();
         assertThat(fleet.runs()).hasSizeLessThanOrEqualTo(before + 1);
     }
 
     @Test
     void testPostWithoutLength() {
-        assertThat(raw("POST /v1/completions HTTP/1.1\r\n" + key() + "\r\n"))
+        assertThat(exchangeRaw("POST /v1/completions HTTP/1.1\r\n" + requestHeaders() + "\r\n"))
                 .startsWith("HTTP/1.1 400");
     }
 
     @Test
-    void testCallerThatHangsUpCancelsItsStream() throws Exception {
+    void testDisconnectOfCallerCancelsStream() throws Exception {
         String prompt = "hang up " + System.nanoTime();
         try (Socket socket = connect()) {
             String body =
@@ -165,7 +170,7 @@
                             + "\"}]}";
             String request =
                     "POST /v1/chat/completions HTTP/1.1\r\n"
-                            + key()
+                            + requestHeaders()
                             + "Content-Length: "
                             + body.length()
                             + "\r\n\r\n"
@@ -174,8 +179,8 @@
             socket.getInputStream().read(new byte[64]);
             socket.setSoLinger(true, 0);
         }
-        neighbour.join();
-        for (int look = 0; look < 200 && fleet.status(0).running() > 0; look++) {
+        concurrentStream.join();
+        for (int attempt = 0; attempt < 200 && fleet.status(0).running() > 0; attempt++) {
             Thread.sleep(20);
         }
         assertThat(fleet.status(0).running()).isZero();
@@ -192,7 +197,7 @@
         assertThat(TestCaller.outcome(response)).isEqualTo("not-run");
     }
 
-    private static String key() {
+    private static String requestHeaders() {
         return "Host: router\r\nAuthorization: Bearer " + DemoSite.key("clinic-0") + "\r\n";
     }
 
@@ -201,21 +206,21 @@
         return new Socket(address.getAddress(), address.getPort());
     }
 
-    /** Sends bytes and reads the answer until nothing comes for a while. */
-    private static String raw(String request) {
-        StringBuilder answer = new StringBuilder();
+    /** Sends bytes and reads the response until the connection ends or is idle for 1.5 seconds. */
+    private static String exchangeRaw(String request) {
+        StringBuilder response = new StringBuilder();
         try (Socket socket = connect()) {
             socket.setSoTimeout(1_500);
             socket.getOutputStream().write(request.getBytes(UTF_8));
             byte[] buffer = new byte[4096];
             int count = socket.getInputStream().read(buffer);
             while (count > 0) {
-                answer.append(new String(buffer, 0, count, UTF_8));
+                response.append(new String(buffer, 0, count, UTF_8));
                 count = socket.getInputStream().read(buffer);
             }
         } catch (IOException ended) {
-            return answer.toString();
+            return response.toString();
         }
-        return answer.toString();
+        return response.toString();
     }
 }
--- a/src/test/java/org/martenwell/daemon/ConfigurationTest.java
+++ b/src/test/java/org/martenwell/daemon/ConfigurationTest.java
@@ -17,7 +17,10 @@
 import org.martenwell.operator.OperatorServlet;
 import org.martenwell.standin.PlatformFaults;
 
-/** Changes the configuration through real sockets, by racing operators and over a bad platform. */
+/**
+ * Changes the configuration over HTTP: concurrent changes, a router that is down and an unreliable
+ * platform.
+ */
 class ConfigurationTest {
 
     private final HttpClient client =
@@ -35,25 +38,25 @@
     }
 
     @Test
-    void testAcceptedIsInForceEverywhere() {
-        HttpResponse<String> answer = apply(0, changed("refuse('closed')"), 1).join();
-        long version = TestCaller.json(answer.body()).path("version").asLong();
-        assertThat(TestCaller.json(answer.body()).path("state").asText()).isEqualTo("accepted");
+    void testAcceptedChangeIsActiveOnAllRouters() {
+        HttpResponse<String> response = apply(0, withPolicy("refuse('closed')"), 1).join();
+        long version = TestCaller.json(response.body()).path("version").asLong();
+        assertThat(TestCaller.json(response.body()).path("state").asText()).isEqualTo("accepted");
         for (int router = 0; router < 3; router++) {
             assertThat(fleet.status(router).configurationVersion()).isEqualTo(version);
-            HttpResponse<String> refused =
+            HttpResponse<String> rejected =
                     TestCaller.of("clinic-0").chat(fleet.callerAddresses().get(router), true, "x");
-            assertThat(TestCaller.code(refused)).isEqualTo("policy_refused");
+            assertThat(TestCaller.code(rejected)).isEqualTo("policy_refused");
         }
     }
 
     @Test
-    void testOfRacingOperatorsExactlyOneWins() {
+    void testOneOfConcurrentChangesIsAccepted() {
         for (int round = 0; round < 5; round++) {
             long base = fleet.status(0).configurationVersion();
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
             for (int router = 0; router < 3; router++) {
-                calls.add(apply(router, changed("allow(" + router + ")"), base));
+                calls.add(apply(router, withPolicy("allow(" + router + ")"), base));
             }
             List<Integer> statuses =
                     calls.stream().map(call -> call.join().statusCode()).sorted().toList();
@@ -62,39 +65,39 @@
     }
 
     @Test
-    void testLostReplyIsSettledByReading() {
+    void testLostResponseOfPlatformIsResolvedByReading() {
         fleet.faults(new PlatformFaults(false, 0, 1));
-        HttpResponse<String> answer = apply(1, changed("allow(2)"), 1).join();
-        assertThat(answer.statusCode()).isEqualTo(200);
-        assertThat(TestCaller.json(answer.body()).path("version").asLong()).isGreaterThan(1);
+        HttpResponse<String> response = apply(1, withPolicy("allow(2)"), 1).join();
+        assertThat(response.statusCode()).isEqualTo(200);
+        assertThat(TestCaller.json(response.body()).path("version").asLong()).isGreaterThan(1);
     }
 
     @Test
-    void testConfigurationWithProblemsIsNotWritten() {
-        HttpResponse<String> answer = apply(0, changed("alow(2)"), 1).join();
-        assertThat(answer.statusCode()).isEqualTo(422);
-        assertThat(TestCaller.code(answer)).isEqualTo("invalid_document");
+    void testInvalidConfigurationIsNotStored() {
+        HttpResponse<String> response = apply(0, withPolicy("alow(2)"), 1).join();
+        assertThat(response.statusCode()).isEqualTo(422);
+        assertThat(TestCaller.code(response)).isEqualTo("invalid_document");
         assertThat(fleet.status(0).configurationVersion()).isEqualTo(1);
     }
 
     @Test
-    void testRouterThatIsAwayMakesAChangePending() {
+    void testChangeIsPendingWhileARouterIsDown() {
         fleet.kill(2);
-        HttpResponse<String> answer = apply(0, changed("allow(3)"), 1).join();
-        assertThat(TestCaller.json(answer.body()).path("state").asText()).isEqualTo("pending");
-        assertThat(TestCaller.json(answer.body()).path("missing").has("router-2")).isTrue();
+        HttpResponse<String> response = apply(0, withPolicy("allow(3)"), 1).join();
+        assertThat(TestCaller.json(response.body()).path("state").asText()).isEqualTo("pending");
+        assertThat(TestCaller.json(response.body()).path("missing").has("router-2")).isTrue();
     }
 
     @Test
-    void testNothingChangesWhileThePlatformIsDown() {
+    void testChangeFailsWhilePlatformIsUnavailable() {
         fleet.faults(new PlatformFaults(true, 0, 0));
-        HttpResponse<String> answer = apply(0, changed("allow(3)"), 1).join();
-        assertThat(TestCaller.code(answer)).isEqualTo("platform_unavailable");
+        HttpResponse<String> response = apply(0, withPolicy("allow(3)"), 1).join();
+        assertThat(TestCaller.code(response)).isEqualTo("platform_unavailable");
         assertThat(fleet.status(0).configurationVersion()).isEqualTo(1);
     }
 
-    /** The configuration in force with another policy. */
-    private String changed(String program) {
+    /** The active configuration with another policy. */
+    private String withPolicy(String program) {
         return read(0).replaceAll("\"program\" : \"[^\"]*\"", "\"program\" : \"" + program + "\"");
     }
 
--- a/src/test/java/org/martenwell/daemon/EndToEndTest.java
+++ b/src/test/java/org/martenwell/daemon/EndToEndTest.java
@@ -16,6 +16,10 @@
 import org.martenwell.demo.DemoSite;
 import org.martenwell.standin.RunRecord;
 
+/**
+ * Sends valid requests through three routers to stand-in targets and compares the responses with
+ * what the targets generated.
+ */
 class EndToEndTest {
 
     private static DemoFleet fleet;
@@ -33,7 +37,7 @@
     }
 
     @Test
-    void testStreamsArriveAsTheEnginesRanThem() {
+    void testStreamsMatchGeneratedText() {
         List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
         for (int index = 0; index < 150; index++) {
             TestCaller caller = TestCaller.of(index % 2 == 0 ? "clinic-0" : "district-east");
@@ -46,14 +50,14 @@
                                 Collectors.toMap(
                                         TestCaller::requestId,
                                         response -> TestCaller.streamedText(response.body())));
-        Map<String, RunRecord> ran = runsById();
+        Map<String, RunRecord> runs = runsById();
         assertThat(received).hasSize(150);
-        received.forEach((id, text) -> assertThat(text).isEqualTo(ran.get(id).answer()));
-        received.keySet().forEach(id -> assertThat(ran.get(id).runs()).isEqualTo(1));
+        received.forEach((id, text) -> assertThat(text).isEqualTo(runs.get(id).answer()));
+        received.keySet().forEach(id -> assertThat(runs.get(id).runs()).isEqualTo(1));
     }
 
     @Test
-    void testWholeAnswerIsAsTheEngineRanIt() {
+    void testUnstreamedResponseMatchesGeneratedText() {
         HttpResponse<String> response =
                 TestCaller.of("clinic-1").chat(routers.get(0), false, "whole");
         String text =
@@ -69,13 +73,13 @@
     }
 
     @Test
-    void testStreamEndsWithItsMarker() {
+    void testStreamEndsWithDoneEvent() {
         HttpResponse<String> response = TestCaller.of("clinic-1").chat(routers.get(1), true, "end");
         assertThat(response.body()).endsWith("data: [DONE]\n\n");
     }
 
     @Test
-    void testServiceGetsPathQueryAndMethod() {
+    void testServiceReceivesPathQueryAndMethod() {
         HttpResponse<String> response =
                 TestCaller.of("clinic-2").get(routers.get(2), "/services/alarms/units/7?all=1");
         assertThat(response.statusCode()).isEqualTo(200);
--- a/src/test/java/org/martenwell/daemon/FailureTest.java
+++ b/src/test/java/org/martenwell/daemon/FailureTest.java
@@ -19,11 +19,11 @@
 import org.martenwell.standin.RunRecord;
 import org.martenwell.standin.TargetFaults;
 
-/** Produces failures of targets, routers and the platform through real sockets. */
+/** Injects failures of targets, routers and the platform and checks the responses to callers. */
 class FailureTest {
 
-    private static final int ENGINES = 8;
-    private static final PlatformFaults DOWN = new PlatformFaults(true, 0, 0);
+    private static final int ENGINE_COUNT = 8;
+    private static final PlatformFaults PLATFORM_DOWN = new PlatformFaults(true, 0, 0);
 
     private DemoFleet fleet;
     private List<String> routers;
@@ -40,50 +40,51 @@
     }
 
     @Test
-    void testBrokenStreamsGoOnEachPieceOnceAndInOrder() {
-        for (int engine = 0; engine < ENGINES; engine++) {
+    void testBrokenStreamsResumeWithoutLossOrDuplicates() {
+        for (int engine = 0; engine < ENGINE_COUNT; engine++) {
             fleet.faults(engine, new TargetFaults(false, false, 3, 4, false));
         }
-        List<HttpResponse<String>> answers = ask(40);
-        Map<String, RunRecord> ran = runsById();
-        for (HttpResponse<String> answer : answers) {
-            assertThat(answer.body()).endsWith("data: [DONE]\n\n");
-            assertThat(TestCaller.streamedText(answer.body()))
-                    .isEqualTo(ran.get(TestCaller.requestId(answer)).answer());
+        List<HttpResponse<String>> responses = sendChats(40);
+        Map<String, RunRecord> runs = runsById();
+        for (HttpResponse<String> response : responses) {
+            assertThat(response.body()).endsWith("data: [DONE]\n\n");
+            assertThat(TestCaller.streamedText(response.body()))
+                    .isEqualTo(runs.get(TestCaller.requestId(response)).answer());
         }
     }
 
     @Test
-    void testStreamThatCannotGoOnEndsWithAnError() {
-        for (int engine = 0; engine < ENGINES; engine++) {
+    void testStreamThatCannotResumeEndsWithAnError() {
+        for (int engine = 0; engine < ENGINE_COUNT; engine++) {
             fleet.faults(engine, new TargetFaults(false, false, 1, 1_000_000, false));
         }
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 TestCaller.of("clinic-0").chat(routers.get(0), true, "breaks again and again");
-        boolean whole = answer.body().endsWith("data: [DONE]\n\n");
-        assertThat(whole || answer.body().contains("stream_broken")).isTrue();
-        assertThat(whole && answer.body().contains("stream_broken")).isFalse();
+        boolean complete = response.body().endsWith("data: [DONE]\n\n");
+        assertThat(complete || response.body().contains("stream_broken")).isTrue();
+        assertThat(complete && response.body().contains("stream_broken")).isFalse();
     }
 
     @Test
-    void testTargetsThatRefuseAreAvoided() {
+    void testRefusingTargetsAreAvoided() {
         fleet.faults(0, new TargetFaults(true, false, 0, 0, false));
         fleet.faults(1, new TargetFaults(true, false, 0, 0, false));
-        assertThat(ask(60)).allSatisfy(answer -> assertThat(answer.statusCode()).isEqualTo(200));
+        assertThat(sendChats(60))
+                .allSatisfy(response -> assertThat(response.statusCode()).isEqualTo(200));
     }
 
     @Test
-    void testLeavingTargetGetsNoNewWork() {
+    void testDrainingTargetGetsNoNewRequests() {
         fleet.faults(2, new TargetFaults(false, true, 0, 0, false));
-        await(() -> ask(16).stream().allMatch(answer -> answer.statusCode() == 200));
+        await(() -> sendChats(16).stream().allMatch(response -> response.statusCode() == 200));
         int before = fleet.runsAt(2).size();
-        ask(60);
+        sendChats(60);
         assertThat(fleet.runsAt(2)).hasSize(before);
     }
 
     @Test
-    void testRouterRestartsWhileThePlatformIsDown() {
-        fleet.faults(DOWN);
+    void testRouterRestartsFromPeersWhilePlatformIsDown() {
+        fleet.faults(PLATFORM_DOWN);
         fleet.kill(1);
         fleet.restart(1);
         await(() -> fleet.status(1).ready());
@@ -93,36 +94,36 @@
     }
 
     @Test
-    void testAllRoutersRestartedWhileThePlatformIsDownAreNotReady() {
-        fleet.faults(DOWN);
+    void testRoutersRestartedTogetherWhilePlatformIsDownAreNotReady() {
+        fleet.faults(PLATFORM_DOWN);
         for (int index = 0; index < 3; index++) {
             fleet.kill(index);
         }
         for (int index = 0; index < 3; index++) {
             fleet.restart(index);
         }
-        HttpResponse<String> answer = TestCaller.of("clinic-0").chat(routers.get(0), true, "x");
-        assertThat(answer.statusCode()).isEqualTo(503);
-        assertThat(TestCaller.code(answer)).isEqualTo("not_ready");
-        assertThat(TestCaller.outcome(answer)).isEqualTo("not-run");
+        HttpResponse<String> response = TestCaller.of("clinic-0").chat(routers.get(0), true, "x");
+        assertThat(response.statusCode()).isEqualTo(503);
+        assertThat(TestCaller.code(response)).isEqualTo("not_ready");
+        assertThat(TestCaller.outcome(response)).isEqualTo("not-run");
         fleet.faults(PlatformFaults.NONE);
         await(() -> fleet.status(0).ready());
     }
 
     @Test
-    void testOthersTakeOverTheTargetsOfARouterThatFailed() {
+    void testOtherRoutersTakeOverTargetsOfFailedRouter() {
         fleet.kill(0);
         await(() -> fleet.status(1).keeps().size() + fleet.status(2).keeps().size() == 11);
         for (int index = 0; index < 20; index++) {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     TestCaller.of("clinic-1").chat(routers.get(1 + index % 2), true, "x" + index);
-            assertThat(answer.statusCode()).isEqualTo(200);
+            assertThat(response.statusCode()).isEqualTo(200);
         }
     }
 
     @Test
-    void testRouterPausedPastItsRemovalRejoinsAndAnswers() {
-        CompletableFuture<HttpResponse<String>> caught =
+    void testRouterPausedUntilItsRemovalRejoins() {
+        CompletableFuture<HttpResponse<String>> duringPause =
                 TestCaller.of("clinic-2").chatLater(routers.get(1), true, "caught in the pause");
         fleet.pause(1, 5_000);
         await(() -> !fleet.status(0).members().containsKey("router-1"));
@@ -130,17 +131,18 @@
                 .isEqualTo(200);
         await(() -> fleet.status(0).members().containsKey("router-1"));
         await(() -> fleet.status(1).members().size() == 2);
-        HttpResponse<String> late = caught.join();
-        HttpResponse<String> after = TestCaller.of("clinic-2").chat(routers.get(1), true, "after");
-        Map<String, RunRecord> ran = runsById();
-        for (HttpResponse<String> answer : List.of(late, after)) {
-            RunRecord run = ran.get(TestCaller.requestId(answer));
-            assertThat(TestCaller.streamedText(answer.body())).isEqualTo(run.answer());
+        HttpResponse<String> responseDuringPause = duringPause.join();
+        HttpResponse<String> responseAfterPause =
+                TestCaller.of("clinic-2").chat(routers.get(1), true, "after");
+        Map<String, RunRecord> runs = runsById();
+        for (HttpResponse<String> response : List.of(responseDuringPause, responseAfterPause)) {
+            RunRecord run = runs.get(TestCaller.requestId(response));
+            assertThat(TestCaller.streamedText(response.body())).isEqualTo(run.answer());
             assertThat(run.runs()).isEqualTo(1);
         }
     }
 
-    private List<HttpResponse<String>> ask(int count) {
+    private List<HttpResponse<String>> sendChats(int count) {
         List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
         for (int index = 0; index < count; index++) {
             calls.add(
--- a/src/test/java/org/martenwell/daemon/OnceTest.java
+++ b/src/test/java/org/martenwell/daemon/OnceTest.java
@@ -17,7 +17,7 @@
 import org.martenwell.demo.DemoSite;
 import org.martenwell.standin.PlatformFaults;
 
-/** A request with an idempotency key runs at most once, whichever routers it is sent to. */
+/** Sends requests with idempotency keys to several routers. Each key must run at most once. */
 class OnceTest {
 
     private static DemoFleet fleet;
@@ -44,64 +44,64 @@
         for (int index = 0; index < 30; index++) {
             calls.add(lock(routers.get(index % 3), "batch-a", key));
         }
-        int ran = 0;
+        int successes = 0;
         for (CompletableFuture<HttpResponse<String>> call : calls) {
-            HttpResponse<String> answer = call.join();
-            if (answer.statusCode() == 200) {
-                ran++;
-                assertThat(TestCaller.outcome(answer)).isEqualTo("ran");
+            HttpResponse<String> response = call.join();
+            if (response.statusCode() == 200) {
+                successes++;
+                assertThat(TestCaller.outcome(response)).isEqualTo("ran");
             } else {
-                assertThat(TestCaller.code(answer)).isEqualTo("claim_in_flight");
-                assertThat(TestCaller.outcome(answer)).isEqualTo("unknown");
+                assertThat(TestCaller.code(response)).isEqualTo("claim_in_flight");
+                assertThat(TestCaller.outcome(response)).isEqualTo("unknown");
             }
         }
-        assertThat(ran).isPositive();
+        assertThat(successes).isPositive();
         assertThat(runs("batch-a")).isEqualTo(1);
     }
 
     @Test
-    void testRepeatGetsTheKeptAnswer() {
+    void testRepeatGetsStoredResponse() {
         String key = key();
         HttpResponse<String> first = lock(routers.get(0), "batch-b", key).join();
-        HttpResponse<String> again = lock(routers.get(1), "batch-b", key).join();
-        for (int look = 0; look < 100 && again.statusCode() == 409; look++) {
-            again = lock(routers.get(1), "batch-b", key).join();
+        HttpResponse<String> repeat = lock(routers.get(1), "batch-b", key).join();
+        for (int attempt = 0; attempt < 100 && repeat.statusCode() == 409; attempt++) {
+            repeat = lock(routers.get(1), "batch-b", key).join();
         }
-        assertThat(again.body()).isEqualTo(first.body());
-        assertThat(again.headers().firstValue("X-Repeated")).contains("true");
+        assertThat(repeat.body()).isEqualTo(first.body());
+        assertThat(repeat.headers().firstValue("X-Repeated")).contains("true");
         assertThat(runs("batch-b")).isEqualTo(1);
     }
 
     @Test
-    void testOtherKeyRunsAgain() {
+    void testDifferentKeyRunsAgain() {
         lock(routers.get(0), "batch-c", key()).join();
         lock(routers.get(0), "batch-c", key()).join();
         assertThat(runs("batch-c")).isEqualTo(2);
     }
 
     @Test
-    void testLostReplyOfThePlatformIsSettledByReading() {
+    void testLostResponseOfPlatformIsResolvedByReading() {
         fleet.faults(new PlatformFaults(false, 0, 1));
-        HttpResponse<String> answer = lock(routers.get(2), "batch-d", key()).join();
+        HttpResponse<String> response = lock(routers.get(2), "batch-d", key()).join();
         fleet.faults(PlatformFaults.NONE);
-        assertThat(answer.statusCode()).isEqualTo(200);
+        assertThat(response.statusCode()).isEqualTo(200);
         assertThat(runs("batch-d")).isEqualTo(1);
     }
 
     @Test
-    void testNothingRunsWithoutAClaim() {
+    void testRequestDoesNotRunWhileClaimsAreUnavailable() {
         fleet.faults(new PlatformFaults(true, 0, 0));
-        HttpResponse<String> answer = lock(routers.get(0), "batch-e", key()).join();
+        HttpResponse<String> response = lock(routers.get(0), "batch-e", key()).join();
         fleet.faults(PlatformFaults.NONE);
-        assertThat(TestCaller.code(answer)).isEqualTo("claim_unavailable");
-        assertThat(TestCaller.outcome(answer)).isEqualTo("not-run");
+        assertThat(TestCaller.code(response)).isEqualTo("claim_unavailable");
+        assertThat(TestCaller.outcome(response)).isEqualTo("not-run");
         assertThat(runs("batch-e")).isZero();
     }
 
     @Test
-    void testKeyThatIsNoneIsRefused() {
-        HttpResponse<String> answer = lock(routers.get(0), "batch-f", "yesterday").join();
-        assertThat(answer.statusCode()).isEqualTo(400);
+    void testMalformedKeyIsRejected() {
+        HttpResponse<String> response = lock(routers.get(0), "batch-f", "yesterday").join();
+        assertThat(response.statusCode()).isEqualTo(400);
         assertThat(runs("batch-f")).isZero();
     }
 
--- a/src/test/java/org/martenwell/daemon/RouterDaemonTest.java
+++ b/src/test/java/org/martenwell/daemon/RouterDaemonTest.java
@@ -61,40 +61,45 @@
     }
 
     @Test
-    void testConnectionBeyondTheLimitIsClosed() throws IOException {
+    void testConnectionBeyondLimitIsClosed() throws IOException {
         try (Socket one = connect(0);
                 Socket two = connect(0)) {
-            assertThat(ask(one, "GET /v1/models", "")).contains("not_ready");
-            assertThat(ask(two, "GET /v1/models", "")).contains("not_ready");
+            assertThat(exchange(one, "GET /v1/models", "")).contains("not_ready");
+            assertThat(exchange(two, "GET /v1/models", "")).contains("not_ready");
             try (Socket three = connect(0)) {
                 assertThat(three.getInputStream().read()).isEqualTo(-1);
             }
-            assertThat(ask(one, "GET /v1/models", "")).contains("not_ready");
+            assertThat(exchange(one, "GET /v1/models", "")).contains("not_ready");
         }
     }
 
     @Test
-    void testChangesNeedTheOperatorsToken() throws IOException {
+    void testChangesRequireOperatorsToken() throws IOException {
         try (Socket socket = connect(1)) {
-            assertThat(ask(socket, "POST /drain", "")).startsWith("HTTP/1.1 401");
-            assertThat(ask(socket, "PUT /configuration", "Authorization: Bearer no\r\n"))
+            assertThat(exchange(socket, "POST /drain", "")).startsWith("HTTP/1.1 401");
+            assertThat(exchange(socket, "PUT /configuration", "Authorization: Bearer no\r\n"))
                     .startsWith("HTTP/1.1 401");
-            assertThat(ask(socket, "POST /drain", "Authorization: Bearer operators-token-1\r\n"))
+            assertThat(
+                            exchange(
+                                    socket,
+                                    "POST /drain",
+                                    "Authorization: Bearer operators-token-1\r\n"))
                     .startsWith("HTTP/1.1 200");
         }
     }
 
     @Test
-    void testHealthDiffersFromReadiness() throws IOException {
+    void testRouterWithoutConfigurationIsHealthyButNotReady() throws IOException {
         try (Socket socket = connect(1)) {
-            assertThat(ask(socket, "GET /health", "")).startsWith("HTTP/1.1 200");
-            assertThat(ask(socket, "GET /ready", "")).startsWith("HTTP/1.1 503");
-            assertThat(ask(socket, "GET /metrics", "")).contains("martenwell_requests_waiting 0");
+            assertThat(exchange(socket, "GET /health", "")).startsWith("HTTP/1.1 200");
+            assertThat(exchange(socket, "GET /ready", "")).startsWith("HTTP/1.1 503");
+            assertThat(exchange(socket, "GET /metrics", ""))
+                    .contains("martenwell_requests_waiting 0");
         }
     }
 
     @Test
-    void testPeerWithAnotherKeyOnlyLosesItsConnection() throws IOException {
+    void testPeerWithWrongKeyIsDisconnectedAndCounted() throws IOException {
         try (Socket socket = connect(2)) {
             byte[] nonce = new byte[16];
             assertThat(socket.getInputStream().readNBytes(nonce, 0, 16)).isEqualTo(16);
@@ -102,7 +107,7 @@
             assertThat(socket.getInputStream().read()).isEqualTo(-1);
         }
         try (Socket socket = connect(1)) {
-            assertThat(ask(socket, "GET /metrics", ""))
+            assertThat(exchange(socket, "GET /metrics", ""))
                     .contains("martenwell_peer_frames_refused 1");
         }
     }
@@ -112,7 +117,7 @@
         return new Socket(address.getAddress(), address.getPort());
     }
 
-    private static String ask(Socket socket, String line, String headers) throws IOException {
+    private static String exchange(Socket socket, String line, String headers) throws IOException {
         String request =
                 line + " HTTP/1.1\r\nHost: router\r\nContent-Length: 0\r\n" + headers + "\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/martenwell/daemon/TestCaller.java
+++ b/src/test/java/org/martenwell/daemon/TestCaller.java
@@ -12,7 +12,7 @@
 import org.martenwell.demo.DemoSite;
 import org.martenwell.json.Json;
 
-/** A caller that uses the JDK's client, which knows nothing of routers. */
+/** A caller that uses the JDK's HTTP client, independent of the router's own client. */
 final class TestCaller {
 
     private final HttpClient client =
@@ -79,12 +79,12 @@
         return response.headers().firstValue("X-Outcome").orElseThrow();
     }
 
-    /** The code of an error answer. */
+    /** The code of an error response. */
     static String code(HttpResponse<String> response) {
         return json(response.body()).path("error").path("code").asText();
     }
 
-    /** The text of a streamed answer. */
+    /** The concatenated text of a streamed response. */
     static String streamedText(String body) {
         return body.lines()
                 .filter(line -> line.startsWith("data: {"))
