--- a/src/main/java/org/martenwell/caller/CallerResponses.java
+++ b/src/main/java/org/martenwell/caller/CallerResponses.java
@@ -11,18 +11,17 @@
 import org.martenwell.router.ErrorBody;
 import org.martenwell.router.RoutedAnswer;
 
-/** Builds the responses that callers get. */
+/** Builds HTTP responses to callers. */
 final class CallerResponses {
 
-    /** Not instantiated. */
     private CallerResponses() {}
 
     /**
-     * Builds the response of a request that a target answers.
+     * Builds the response to a request that a target has answered.
      *
-     * @param answer The answer.
+     * @param answer The target's response.
      * @param id The request's id.
-     * @return The response.
+     * @return The response, which streams the target's body.
      */
     static HttpResponse of(RoutedAnswer answer, String id) {
         HttpResponse.Builder builder = HttpResponse.ofCode(answer.status());
@@ -36,11 +35,12 @@
     }
 
     /**
-     * Builds the response of a request that failed.
+     * Builds the response to a failed request. The header {@code Retry-After} is rounded up to
+     * whole seconds.
      *
-     * @param failure Why.
+     * @param failure The failure.
      * @param id The request's id.
-     * @return The response.
+     * @return The response, with the failure's status and a body in JSON.
      */
     static HttpResponse of(MartenwellException failure, String id) {
         HttpResponse.Builder builder =
@@ -58,12 +58,12 @@
     }
 
     /**
-     * States the kind of any failure.
+     * Converts an exception of the HTTP library, or an unexpected one, to one with an error kind.
      *
-     * @param exception The failure.
-     * @return The failure with its kind.
+     * @param exception The exception.
+     * @return The same exception if it has a kind already.
      */
-    static MartenwellException failure(Exception exception) {
+    static MartenwellException withKind(Exception exception) {
         if (exception instanceof MartenwellException known) {
             return known;
         }
@@ -73,8 +73,9 @@
         }
         if (exception instanceof HttpException) {
             return MartenwellException.of(
-                    ErrorKind.MALFORMED_REQUEST, "The request is not well formed.", exception);
+                    ErrorKind.MALFORMED_REQUEST, "The request is not valid HTTP.", exception);
         }
-        return MartenwellException.of(ErrorKind.INTERNAL, "The router failed.", exception);
+        return MartenwellException.of(
+                ErrorKind.INTERNAL, "Internal error in the router.", exception);
     }
 }
--- a/src/main/java/org/martenwell/caller/CallerServlet.java
+++ b/src/main/java/org/martenwell/caller/CallerServlet.java
@@ -11,31 +11,30 @@
 import org.martenwell.router.RoutedAnswer;
 import org.martenwell.router.RouterMetrics;
 
-/** Answers callers' requests: checks them, asks the policy, and passes admitted ones on. */
+/**
+ * Serves callers' requests: checks their form, routes them by path and turns failures into error
+ * responses.
+ */
 public final class CallerServlet implements AsyncServlet {
 
-    /** The path under which plain services are. */
-    private static final String SERVICES = "/services/";
+    /** The path prefix of plain services. */
+    private static final String SERVICES_PREFIX = "/services/";
 
-    /** Checks the form of requests. */
     private final RequestChecker checker;
 
-    /** Answers requests to models. */
     private final ModelEndpoint models;
 
-    /** Answers requests to plain services. */
     private final ServiceEndpoint services;
 
-    /** Counts what happens. */
     private final RouterMetrics metrics;
 
     /**
      * Creates a servlet.
      *
      * @param checker Checks the form of requests.
-     * @param models Answers requests to models.
-     * @param services Answers requests to plain services.
-     * @param metrics Counts what happens.
+     * @param models Handles requests to models.
+     * @param services Handles requests to plain services.
+     * @param metrics Counts responses and failures.
      */
     public CallerServlet(
             RequestChecker checker,
@@ -58,25 +57,18 @@
         } catch (MartenwellException refusal) {
             response = Promise.ofException(refusal);
         }
-        return response.then(Promise::of, exception -> failed(exception, id));
+        return response.then(Promise::of, exception -> errorResponse(exception, id));
     }
 
-    /**
-     * Answers a request by its path.
-     *
-     * @param request The request.
-     * @param id The request's id.
-     * @return The response.
-     */
     private Promise<HttpResponse> route(HttpRequest request, String id) {
         String path = request.getPath();
-        if (path.startsWith(SERVICES)) {
-            return services.serve(request, id).map(answer -> answered(answer, id));
+        if (path.startsWith(SERVICES_PREFIX)) {
+            return services.serve(request, id).map(answer -> targetResponse(answer, id));
         }
         return switch (path) {
             case "/v1/chat/completions", "/v1/completions" -> {
                 requireMethod(request, HttpMethod.POST);
-                yield models.serve(request, id).map(answer -> answered(answer, id));
+                yield models.serve(request, id).map(answer -> targetResponse(answer, id));
             }
             case "/v1/models" -> {
                 requireMethod(request, HttpMethod.GET);
@@ -84,44 +76,24 @@
             }
             default ->
                     throw MartenwellException.of(
-                            ErrorKind.UNKNOWN_PATH, "Nothing is at " + path + ".");
+                            ErrorKind.UNKNOWN_PATH, "Unknown path: " + path + ".");
         };
     }
 
-    /**
-     * Throws an exception if a request has another method.
-     *
-     * @param request The request.
-     * @param method The method that the path takes.
-     */
     private static void requireMethod(HttpRequest request, HttpMethod method) {
         if (request.getMethod() != method) {
             throw MartenwellException.of(
-                    ErrorKind.METHOD_NOT_ALLOWED, "This path takes " + method + ".");
+                    ErrorKind.METHOD_NOT_ALLOWED, "This path only accepts " + method + ".");
         }
     }
 
-    /**
-     * Builds the response of a request that a target answers.
-     *
-     * @param answer The answer.
-     * @param id The request's id.
-     * @return The response.
-     */
-    private HttpResponse answered(RoutedAnswer answer, String id) {
+    private HttpResponse targetResponse(RoutedAnswer answer, String id) {
         metrics.answered();
         return CallerResponses.of(answer, id);
     }
 
-    /**
-     * Builds the response of a request that failed.
-     *
-     * @param exception Why.
-     * @param id The request's id.
-     * @return The response.
-     */
-    private Promise<HttpResponse> failed(Exception exception, String id) {
-        MartenwellException failure = CallerResponses.failure(exception);
+    private Promise<HttpResponse> errorResponse(Exception exception, String id) {
+        MartenwellException failure = CallerResponses.withKind(exception);
         metrics.refused(failure.kind());
         return Promise.of(CallerResponses.of(failure, id));
     }
--- a/src/main/java/org/martenwell/caller/ModelEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ModelEndpoint.java
@@ -22,30 +22,32 @@
 import org.martenwell.schedule.SchedulingParameters;
 import org.martenwell.target.TargetRequest;
 
-/** Answers the OpenAI-compatible paths. */
+/** Serves the OpenAI-compatible paths for completions and the list of models. */
 public final class ModelEndpoint {
 
-    /** How much of a prompt's start decides which target likely holds it, in characters. */
+    /**
+     * The length of the prompt prefix that is hashed to find a target with a cached prompt, in
+     * characters.
+     */
     private static final int PREFIX_CHARACTERS = 512;
 
-    /** How long an engine may take until its answer begins or, if not streamed, ends. */
+    /**
+     * The timeout for the start of a streamed response or the end of any other, in milliseconds.
+     */
     private static final long TIMEOUT_MILLIS = 600_000;
 
-    /** Decides who may send what. */
     private final RequestAdmission admission;
 
-    /** Brings requests to targets. */
     private final RequestDispatcher dispatcher;
 
-    /** The largest body, in bytes. */
     private final int maxBodyBytes;
 
     /**
      * Creates an endpoint.
      *
-     * @param admission Decides who may send what.
-     * @param dispatcher Brings requests to targets.
-     * @param maxBodyBytes The largest body, in bytes.
+     * @param admission Authenticates callers and admits requests.
+     * @param dispatcher Sends requests to targets.
+     * @param maxBodyBytes The largest accepted body, in bytes.
      */
     public ModelEndpoint(
             RequestAdmission admission, RequestDispatcher dispatcher, int maxBodyBytes) {
@@ -55,11 +57,11 @@
     }
 
     /**
-     * Answers a completion.
+     * Authenticates a request for a completion and sends it to a target.
      *
      * @param request The request.
      * @param id The request's id.
-     * @return The answer.
+     * @return The target's response.
      */
     Promise<RoutedAnswer> serve(HttpRequest request, String id) {
         ActiveConfiguration active = admission.configuration();
@@ -70,11 +72,11 @@
     }
 
     /**
-     * Lists the models.
+     * Lists the configured models, also those that no target serves.
      *
-     * @param request The request.
+     * @param request The request, which needs a valid key.
      * @param id The request's id.
-     * @return The response.
+     * @return The list, in OpenAI's format.
      */
     Promise<HttpResponse> list(HttpRequest request, String id) {
         ActiveConfiguration active = admission.configuration();
@@ -92,16 +94,6 @@
         return Promise.of(response);
     }
 
-    /**
-     * Checks a completion's body and passes it on.
-     *
-     * @param active The configuration in force.
-     * @param organisation The organisation.
-     * @param request The request.
-     * @param body The body.
-     * @param id The request's id.
-     * @return The answer.
-     */
     private Promise<RoutedAnswer> dispatch(
             ActiveConfiguration active,
             Organisation organisation,
@@ -116,10 +108,10 @@
                                 () ->
                                         MartenwellException.of(
                                                 ErrorKind.UNKNOWN_MODEL,
-                                                "No model is named '" + name + "'."));
+                                                "Unknown model '" + name + "'."));
         Pool pool = Pool.ofModel(name);
         int priority = admission.admit(active, organisation, pool, request, body.length, id);
-        TargetRequest message =
+        TargetRequest targetRequest =
                 new TargetRequest(
                         id,
                         request.getMethod().name(),
@@ -131,24 +123,25 @@
                         TIMEOUT_MILLIS);
         return dispatcher.dispatch(
                 new RoutedRequest(
-                        message,
+                        targetRequest,
                         organisation,
                         active.contract(organisation),
                         pool,
-                        prefix(organisation, root),
+                        prefixHash(organisation, root),
                         root.path("stream").asBoolean(false),
                         model.costPerToken(),
                         model.costPerToken() * SchedulingParameters.DEFAULTS.slotRate()));
     }
 
     /**
-     * Hashes the organisation and the leading block of the prompt.
+     * Hashes the organisation and the start of the prompt; equal prompts of two organisations have
+     * different hashes.
      *
      * @param organisation The organisation.
      * @param root The request's body.
      * @return The hash.
      */
-    private static long prefix(Organisation organisation, JsonNode root) {
+    private static long prefixHash(Organisation organisation, JsonNode root) {
         StringBuilder text = new StringBuilder(organisation.name()).append('\u0000');
         JsonNode prompt = root.has("messages") ? root.path("messages") : root.path("prompt");
         text.append(prompt.toString());
--- a/src/main/java/org/martenwell/caller/ModelEntry.java
+++ b/src/main/java/org/martenwell/caller/ModelEntry.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One model in OpenAI's list.
+ * A model in OpenAI's list of models.
  *
  * @param id The model's name.
  * @param object Always {@code model}.
- * @param created Always 0, because models carry no time.
+ * @param created Always 0; configurations don't record when a model was created.
  * @param ownedBy Always {@code fleet}.
  */
 public record ModelEntry(
@@ -17,7 +17,7 @@
      * Creates the entry of a model.
      *
      * @param name The model's name.
-     * @return The entry.
+     * @return The entry, with the fixed values of the other fields.
      */
     static ModelEntry of(String name) {
         return new ModelEntry(name, "model", 0, "fleet");
--- a/src/main/java/org/martenwell/caller/ModelList.java
+++ b/src/main/java/org/martenwell/caller/ModelList.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * OpenAI's list of models.
+ * The response body of OpenAI's list of models.
  *
  * @param object Always {@code list}.
- * @param data The models.
+ * @param data The entries, in the order of the configuration.
  */
 public record ModelList(String object, List<ModelEntry> data) {}
--- a/src/main/java/org/martenwell/caller/RequestAdmission.java
+++ b/src/main/java/org/martenwell/caller/RequestAdmission.java
@@ -24,31 +24,26 @@
 import org.martenwell.policy.PolicyInput;
 import org.martenwell.policy.Verdict;
 
-/** Decides whether a caller may send a request: readiness, key, policy and rate. */
+/** Authenticates callers and admits requests by policy, rate limit and available targets. */
 public final class RequestAdmission {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(RequestAdmission.class);
 
-    /** Starts the header that carries a key. */
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
-    /** Gives the time. */
     private final Reactor reactor;
 
-    /** Gives the configuration in force, or throws an exception if there is none. */
     private final Supplier<ActiveConfiguration> configuration;
 
-    /** Bounds rates. */
     private final AdmissionControl control;
 
     /**
      * Creates an admission.
      *
-     * @param reactor Gives the time.
-     * @param configuration Gives the configuration in force, or throws an exception if the router
-     *     takes no requests.
-     * @param control Bounds rates.
+     * @param reactor The source of the current time.
+     * @param configuration Supplies the active configuration; throws an exception if the router
+     *     doesn't accept requests.
+     * @param control Enforces the rate limits.
      */
     public RequestAdmission(
             Reactor reactor,
@@ -60,7 +55,8 @@
     }
 
     /**
-     * Returns the configuration in force, or throws an exception if the router takes no requests.
+     * Returns the active configuration. Throws an exception of kind {@link ErrorKind#NOT_READY} or
+     * {@link ErrorKind#DRAINING} if the router doesn't accept requests.
      *
      * @return The configuration.
      */
@@ -69,36 +65,37 @@
     }
 
     /**
-     * Finds the organisation of a caller's key, or throws an exception if it belongs to none.
+     * Finds the organisation of a request's key. Throws an exception of kind {@link
+     * ErrorKind#UNAUTHENTICATED} if the key is missing or unknown.
      *
-     * @param active The configuration in force.
+     * @param active The active configuration.
      * @param request The request.
      * @return The organisation.
      */
     public Organisation authenticate(ActiveConfiguration active, HttpRequest request) {
         String header = request.getHeader(HttpHeaders.AUTHORIZATION);
         return Optional.ofNullable(header)
-                .filter(value -> value.startsWith(BEARER))
-                .map(value -> value.substring(BEARER.length()).strip())
+                .filter(value -> value.startsWith(BEARER_PREFIX))
+                .map(value -> value.substring(BEARER_PREFIX.length()).strip())
                 .flatMap(active::organisationOfKey)
                 .orElseThrow(
                         () ->
                                 MartenwellException.of(
                                         ErrorKind.UNAUTHENTICATED,
-                                        "The key is missing or unknown."));
+                                        "The API key is missing or unknown."));
     }
 
     /**
-     * Asks the policy, the rate limit and whether any target serves the pool, or throws an
-     * exception that refuses the request.
+     * Admits a request, or throws an exception if the policy or the rate limit refuses it or no
+     * target serves the pool. Refusals are logged.
      *
-     * @param active The configuration in force.
-     * @param organisation The organisation.
-     * @param pool The pool asked for.
+     * @param active The active configuration.
+     * @param organisation The caller's organisation.
+     * @param pool The requested pool.
      * @param request The request.
      * @param bodyBytes The size of its body, in bytes.
      * @param id The request's id.
-     * @return The priority.
+     * @return The priority that the policy gave it.
      */
     public int admit(
             ActiveConfiguration active,
@@ -111,7 +108,7 @@
         try {
             Verdict verdict =
                     active.policy(contract)
-                            .decide(input(active, organisation, pool, request, bodyBytes));
+                            .decide(policyInput(active, organisation, pool, request, bodyBytes));
             if (verdict.refusal().isPresent()) {
                 throw MartenwellException.of(
                         ErrorKind.POLICY_REFUSED, verdict.refusal().orElseThrow());
@@ -133,29 +130,24 @@
         }
     }
 
-    /**
-     * Throws an exception if no target serves a pool.
-     *
-     * @param active The configuration in force.
-     * @param pool The pool.
-     */
     private static void requireTargets(ActiveConfiguration active, Pool pool) {
         if (active.targets(pool).isEmpty()) {
-            throw MartenwellException.of(ErrorKind.NO_TARGET, "No target serves " + pool + " now.");
+            throw MartenwellException.of(ErrorKind.NO_TARGET, "No target serves " + pool + ".");
         }
     }
 
     /**
-     * Collects what the policy may look at.
+     * Collects the attributes of a request that policies may read. The time of day is in minutes,
+     * UTC.
      *
-     * @param active The configuration in force.
-     * @param organisation The organisation.
-     * @param pool The pool asked for.
+     * @param active The active configuration.
+     * @param organisation The caller's organisation.
+     * @param pool The requested pool.
      * @param request The request.
      * @param bodyBytes The size of its body, in bytes.
-     * @return The input.
+     * @return The attributes.
      */
-    private PolicyInput input(
+    private PolicyInput policyInput(
             ActiveConfiguration active,
             Organisation organisation,
             Pool pool,
--- a/src/main/java/org/martenwell/caller/RequestChecker.java
+++ b/src/main/java/org/martenwell/caller/RequestChecker.java
@@ -8,53 +8,51 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Refuses requests whose form is ambiguous or beyond the limits. */
+/** Rejects requests whose length is ambiguous or whose headers or body exceed the limits. */
 public final class RequestChecker {
 
-    /** The largest headers in all, in bytes. */
+    /** The limit on the total size of all names and values of headers, in bytes. */
     private static final int MAX_HEADER_BYTES = 64 << 10;
 
-    /** The largest body, in bytes. */
     private final int maxBodyBytes;
 
     /**
      * Creates a checker.
      *
-     * @param maxBodyBytes The largest body, in bytes.
+     * @param maxBodyBytes The largest accepted body, in bytes.
      */
     public RequestChecker(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
-     * Throws an exception if a request's form is not accepted.
+     * Throws an exception if a request is ambiguous or too large. The body is checked by its stated
+     * length only; its reader limits bodies without one.
      *
-     * @param request The request.
+     * @param request The request, whose body needn't have arrived.
      */
     public void check(HttpRequest request) {
-        int bytes = 0;
-        int lengths = 0;
-        boolean encoded = false;
+        int headerBytes = 0;
+        int contentLengths = 0;
+        boolean hasTransferEncoding = false;
         for (Map.Entry<HttpHeader, HttpHeaderValue> entry : request.getHeaders()) {
-            bytes += entry.getKey().toString().length() + entry.getValue().toString().length();
-            lengths += entry.getKey().equals(HttpHeaders.CONTENT_LENGTH) ? 1 : 0;
-            encoded = encoded || entry.getKey().equals(HttpHeaders.TRANSFER_ENCODING);
+            headerBytes +=
+                    entry.getKey().toString().length() + entry.getValue().toString().length();
+            contentLengths += entry.getKey().equals(HttpHeaders.CONTENT_LENGTH) ? 1 : 0;
+            hasTransferEncoding =
+                    hasTransferEncoding || entry.getKey().equals(HttpHeaders.TRANSFER_ENCODING);
         }
-        if (lengths > 1 || (lengths == 1 && encoded)) {
+        if (contentLengths > 1 || (contentLengths == 1 && hasTransferEncoding)) {
             throw MartenwellException.of(
-                    ErrorKind.MALFORMED_REQUEST, "The body's length is stated more than once.");
+                    ErrorKind.MALFORMED_REQUEST,
+                    "The request states the length of its body more than once.");
         }
-        if (bytes > MAX_HEADER_BYTES) {
+        if (headerBytes > MAX_HEADER_BYTES) {
             throw MartenwellException.of(ErrorKind.HEADERS_TOO_LARGE, "The headers are too large.");
         }
         checkLength(request.getHeader(HttpHeaders.CONTENT_LENGTH));
     }
 
-    /**
-     * Throws an exception if a stated length is beyond the limit.
-     *
-     * @param length The stated length or {@code null}.
-     */
     private void checkLength(String length) {
         if (length != null && Long.parseLong(length.strip()) > maxBodyBytes) {
             throw MartenwellException.of(ErrorKind.BODY_TOO_LARGE, "The body is too large.");
--- a/src/main/java/org/martenwell/caller/ServiceEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ServiceEndpoint.java
@@ -19,38 +19,33 @@
 import org.martenwell.router.RoutedRequest;
 import org.martenwell.target.TargetRequest;
 
-/** Answers {@code /services/NAME/…}. */
+/** Serves plain services under {@code /services/NAME/}. */
 public final class ServiceEndpoint {
 
-    /** The start of the path. */
-    private static final String PREFIX = "/services/";
+    /** The path prefix of plain services. */
+    private static final String PATH_PREFIX = "/services/";
 
-    /** Decides who may send what. */
     private final RequestAdmission admission;
 
-    /** Names the caller's key of a request that must not run twice. */
-    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    /** The request header with the key under which a request runs at most once. */
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    /** Brings requests to targets. */
     private final RequestDispatcher dispatcher;
 
-    /** Lets requests with a key run at most once. */
     private final OnceGuard guard;
 
-    /** Gives the time. */
     private final LongSupplier clock;
 
-    /** The largest body, in bytes. */
     private final int maxBodyBytes;
 
     /**
      * Creates an endpoint.
      *
-     * @param admission Decides who may send what.
-     * @param dispatcher Brings requests to targets.
-     * @param guard Lets requests with a key run at most once.
-     * @param clock Gives the time.
-     * @param maxBodyBytes The largest body, in bytes.
+     * @param admission Authenticates callers and admits requests.
+     * @param dispatcher Sends requests to targets.
+     * @param guard Runs requests with an idempotency key at most once.
+     * @param clock Supplies the current time in milliseconds.
+     * @param maxBodyBytes The largest accepted body, in bytes.
      */
     public ServiceEndpoint(
             RequestAdmission admission,
@@ -66,57 +61,52 @@
     }
 
     /**
-     * Answers a request to a plain service.
+     * Authenticates a request to a plain service and sends it to a target.
      *
      * @param request The request.
      * @param id The request's id.
-     * @return The answer.
+     * @return The target's response.
      */
     Promise<RoutedAnswer> serve(HttpRequest request, String id) {
         ActiveConfiguration active = admission.configuration();
         Organisation organisation = admission.authenticate(active, request);
-        String rest = request.getPathAndQuery().substring(PREFIX.length());
-        int end = nameEnd(rest);
-        String name = rest.substring(0, end);
+        String remainder = request.getPathAndQuery().substring(PATH_PREFIX.length());
+        int end = nameEnd(remainder);
+        String name = remainder.substring(0, end);
         Service service =
                 active.service(name)
                         .orElseThrow(
                                 () ->
                                         MartenwellException.of(
                                                 ErrorKind.UNKNOWN_SERVICE,
-                                                "No service is named '" + name + "'."));
-        String path = rest.substring(end);
+                                                "Unknown service '" + name + "'."));
+        String path = remainder.substring(end);
         return request.loadBody(maxBodyBytes)
                 .map(ByteBuf::getArray)
                 .then(body -> dispatch(active, organisation, service, request, path, body, id));
     }
 
-    /**
-     * Finds the end of the service's name.
-     *
-     * @param rest The path and query behind the prefix.
-     * @return The index behind the name.
-     */
-    private static int nameEnd(String rest) {
-        for (int index = 0; index < rest.length(); index++) {
-            if (rest.charAt(index) == '/' || rest.charAt(index) == '?') {
+    private static int nameEnd(String remainder) {
+        for (int index = 0; index < remainder.length(); index++) {
+            if (remainder.charAt(index) == '/' || remainder.charAt(index) == '?') {
                 return index;
             }
         }
-        return rest.length();
+        return remainder.length();
     }
 
     /**
-     * Passes a request on.
+     * Admits a request and dispatches it. An idempotency key only matters if the service doesn't
+     * allow the request to run twice.
      *
-     * @param active The configuration in force.
-     * @param organisation The organisation.
+     * @param active The active configuration.
+     * @param organisation The caller's organisation.
      * @param service The service.
      * @param request The request.
-     * @param path The path and query behind the service's name.
+     * @param path The path and query after the service's name.
      * @param body The body.
      * @param id The request's id.
-     * @return The answer.
+     * @return The target's response.
      */
     private Promise<RoutedAnswer> dispatch(
             ActiveConfiguration active,
@@ -129,7 +119,7 @@
         Pool pool = Pool.ofService(service.name());
         int priority = admission.admit(active, organisation, pool, request, body.length, id);
         String method = request.getMethod().name();
-        TargetRequest message =
+        TargetRequest targetRequest =
                 new TargetRequest(
                         id,
                         method,
@@ -141,7 +131,7 @@
                         service.timeoutMillis());
         RoutedRequest routed =
                 new RoutedRequest(
-                        message,
+                        targetRequest,
                         organisation,
                         active.contract(organisation),
                         pool,
@@ -150,8 +140,8 @@
                         0,
                         service.costPerSecond());
         Optional<IdempotencyKey> key =
-                HeaderFields.find(request, IDEMPOTENCY_KEY)
-                        .filter(any -> !message.repeatable())
+                HeaderFields.find(request, IDEMPOTENCY_KEY_HEADER)
+                        .filter(any -> !targetRequest.repeatable())
                         .map(text -> IdempotencyKey.of(text, clock.getAsLong()));
         return key.isPresent() ? guard.dispatch(routed, key.get()) : dispatcher.dispatch(routed);
     }
--- a/src/main/java/org/martenwell/caller/package-info.java
+++ b/src/main/java/org/martenwell/caller/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What callers see: OpenAI-compatible paths for models and {@code /services/NAME/} for the rest.
+ * The HTTP interface for callers: OpenAI-compatible paths for models and {@code /services/NAME/}
+ * for plain services.
  */
 package org.martenwell.caller;
