--- a/src/main/java/org/martenwell/configuration/ActiveConfiguration.java
+++ b/src/main/java/org/martenwell/configuration/ActiveConfiguration.java
@@ -9,45 +9,33 @@
 import org.martenwell.policy.PolicyCompiler;
 import org.martenwell.policy.PolicyProgram;
 
-/** A configuration in force, with its version, its indexes and its compiled policies. */
+/** A valid configuration with its version, indexes by name and compiled policies. Immutable. */
 public final class ActiveConfiguration {
 
-    /** The version of the object that holds the configuration. */
+    /** The version of the stored object that holds the configuration. */
     private final long version;
 
-    /** The configuration itself. */
     private final FleetConfiguration configuration;
 
-    /** The models by name. */
     private final Map<String, Model> models;
 
-    /** The plain services by name. */
     private final Map<String, Service> services;
 
-    /** The contracts by name. */
     private final Map<String, Contract> contracts;
 
-    /** The organisations by name. */
     private final Map<String, Organisation> organisations;
 
-    /** The targets by name. */
     private final Map<String, Target> targets;
 
-    /** The targets of each pool. */
-    private final Map<Pool, List<Target>> pools;
+    /** The targets of each pool, in the order of the configuration. */
+    private final Map<Pool, List<Target>> targetsByPool;
 
     /** The compiled policies by name. */
     private final Map<String, PolicyProgram> policies;
 
-    /** The organisations by the hash of a caller's key. */
-    private final KeyTable keys;
+    /** The organisations by the hashes of their API keys. */
+    private final KeyTable keyTable;
 
-    /**
-     * Creates an active configuration.
-     *
-     * @param version The version of the object that holds the configuration.
-     * @param configuration A checked configuration.
-     */
     private ActiveConfiguration(long version, FleetConfiguration configuration) {
         this.version = version;
         this.configuration = configuration;
@@ -56,7 +44,7 @@
         contracts = index(configuration.contracts(), Contract::name);
         organisations = index(configuration.organisations(), Organisation::name);
         targets = index(configuration.targets(), Target::name);
-        pools =
+        targetsByPool =
                 configuration.targets().stream()
                         .flatMap(target -> target.pools().stream())
                         .distinct()
@@ -71,28 +59,20 @@
         for (Policy policy : configuration.policies()) {
             policies.put(policy.name(), PolicyCompiler.INSTANCE.compile(policy.program()));
         }
-        keys = KeyTable.of(configuration.organisations());
+        keyTable = KeyTable.of(configuration.organisations());
     }
 
     /**
-     * Creates an active configuration.
+     * Indexes a configuration and compiles its policies.
      *
-     * @param version The version of the object that holds the configuration.
-     * @param configuration A checked configuration.
+     * @param version The version of the stored object that holds the configuration.
+     * @param configuration A configuration that {@link FleetConfigurationReader} has checked.
      * @return The active configuration.
      */
     public static ActiveConfiguration of(long version, FleetConfiguration configuration) {
         return new ActiveConfiguration(version, configuration);
     }
 
-    /**
-     * Indexes items by name.
-     *
-     * @param items The items.
-     * @param name Reads an item's name.
-     * @param <T> The type of the items.
-     * @return The index, in the order of the items.
-     */
     private static <T> Map<String, T> index(List<T> items, Function<T, String> name) {
         Map<String, T> index = new LinkedHashMap<>();
         for (T item : items) {
@@ -101,20 +81,12 @@
         return index;
     }
 
-    /**
-     * Returns the version of the object that holds the configuration.
-     *
-     * @return The version.
-     */
+    /** {@return the version of the stored object that holds the configuration} */
     public long version() {
         return version;
     }
 
-    /**
-     * Returns the configuration itself.
-     *
-     * @return The configuration.
-     */
+    /** {@return the configuration as it was read} */
     public FleetConfiguration configuration() {
         return configuration;
     }
@@ -123,7 +95,7 @@
      * Finds a model.
      *
      * @param name The model's name.
-     * @return The model.
+     * @return The model, or empty if none has this name.
      */
     public Optional<Model> model(String name) {
         return Optional.ofNullable(models.get(name));
@@ -133,7 +105,7 @@
      * Finds a plain service.
      *
      * @param name The service's name.
-     * @return The service.
+     * @return The service, or empty if none has this name.
      */
     public Optional<Service> service(String name) {
         return Optional.ofNullable(services.get(name));
@@ -143,7 +115,7 @@
      * Finds an organisation.
      *
      * @param name The organisation's name.
-     * @return The organisation.
+     * @return The organisation, or empty if none has this name.
      */
     public Optional<Organisation> organisation(String name) {
         return Optional.ofNullable(organisations.get(name));
@@ -153,7 +125,7 @@
      * Finds a target.
      *
      * @param name The target's name.
-     * @return The target.
+     * @return The target, or empty if none has this name.
      */
     public Optional<Target> target(String name) {
         return Optional.ofNullable(targets.get(name));
@@ -163,16 +135,16 @@
      * Returns the targets that serve a pool.
      *
      * @param pool The pool.
-     * @return The targets, possibly none.
+     * @return The targets, empty if no target serves the pool.
      */
     public List<Target> targets(Pool pool) {
-        return pools.getOrDefault(pool, List.of());
+        return targetsByPool.getOrDefault(pool, List.of());
     }
 
     /**
-     * Returns the contract that binds an organisation.
+     * Returns the contract of an organisation.
      *
-     * @param organisation The organisation.
+     * @param organisation An organisation of this configuration.
      * @return The contract.
      */
     public Contract contract(Organisation organisation) {
@@ -182,7 +154,7 @@
     /**
      * Returns the compiled policy of a contract.
      *
-     * @param contract The contract.
+     * @param contract A contract of this configuration.
      * @return The compiled policy.
      */
     public PolicyProgram policy(Contract contract) {
@@ -190,12 +162,12 @@
     }
 
     /**
-     * Finds the organisation of a caller's key.
+     * Finds the organisation that an API key belongs to.
      *
      * @param key The key as the caller sent it.
-     * @return The organisation.
+     * @return The organisation, or empty if the key is unknown.
      */
     public Optional<Organisation> organisationOfKey(String key) {
-        return keys.find(key);
+        return keyTable.find(key);
     }
 }
--- a/src/main/java/org/martenwell/configuration/FleetConfiguration.java
+++ b/src/main/java/org/martenwell/configuration/FleetConfiguration.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The whole configuration of a fleet.
+ * The configuration of a fleet, as it is read from JSON.
  *
  * @param models The models.
  * @param services The plain services.
--- a/src/main/java/org/martenwell/configuration/FleetConfigurationReader.java
+++ b/src/main/java/org/martenwell/configuration/FleetConfigurationReader.java
@@ -8,19 +8,19 @@
 import org.martenwell.json.Problem;
 import org.martenwell.json.SchemaChecker;
 
-/** Reads a fleet configuration and checks it whole. */
+/** Reads a fleet configuration and checks its schema, references and policies. */
 public enum FleetConfigurationReader {
 
     /** The only instance. */
     INSTANCE;
 
-    /** Checks the shape of the document. */
     private static final SchemaChecker SCHEMA = SchemaChecker.of("/schema/fleet.schema.json");
 
     /**
-     * Reads a configuration, or throws an exception that lists all its problems.
+     * Reads a configuration. If it is not valid, throws an exception that lists all problems of its
+     * schema or, if it matches the schema, of its references and policies.
      *
-     * @param file The name of the document.
+     * @param file The name of the document, for messages.
      * @param text The document, JSON with comments.
      * @return The configuration.
      */
--- a/src/main/java/org/martenwell/configuration/KeyTable.java
+++ b/src/main/java/org/martenwell/configuration/KeyTable.java
@@ -11,19 +11,18 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * Finds the organisation of a caller's key. The key is hashed first; the hash selects a bucket, and
- * hashes within the bucket are compared in constant time, so that time tells nothing about a key.
+ * Finds the organisation of an API key by the key's hash. Hashes are compared in constant time
+ * within a bucket, so that the time of a lookup reveals nothing about other keys.
  */
 final class KeyTable {
 
     /** The entries by the first byte of the hash. */
     private final Map<Byte, List<Entry>> buckets = new HashMap<>();
 
-    /** Created by {@link #of}. */
     private KeyTable() {}
 
     /**
-     * Creates a table.
+     * Creates a table of the keys of all organisations.
      *
      * @param organisations The organisations with the hashes of their keys.
      * @return The table.
@@ -31,8 +30,8 @@
     static KeyTable of(List<Organisation> organisations) {
         KeyTable table = new KeyTable();
         for (Organisation organisation : organisations) {
-            for (String hexadecimal : organisation.keyHashes()) {
-                byte[] hash = BaseEncoding.base16().lowerCase().decode(hexadecimal);
+            for (String hexHash : organisation.keyHashes()) {
+                byte[] hash = BaseEncoding.base16().lowerCase().decode(hexHash);
                 table.buckets
                         .computeIfAbsent(hash[0], first -> new ArrayList<>())
                         .add(new Entry(hash, organisation));
@@ -44,8 +43,8 @@
     /**
      * Finds the organisation of a key.
      *
-     * @param key The key.
-     * @return The organisation.
+     * @param key The key as the caller sent it.
+     * @return The organisation, or empty if the key is unknown.
      */
     Optional<Organisation> find(String key) {
         byte[] hash = DigestUtils.sha256(key.getBytes(StandardCharsets.UTF_8));
@@ -58,21 +57,12 @@
         return found;
     }
 
-    /** One key's hash and its owner. */
     private static final class Entry {
 
-        /** The key's hash. */
         private final byte[] hash;
 
-        /** The key's owner. */
         private final Organisation organisation;
 
-        /**
-         * Creates an entry.
-         *
-         * @param hash The key's hash.
-         * @param organisation The key's owner.
-         */
         private Entry(byte[] hash, Organisation organisation) {
             this.hash = hash;
             this.organisation = organisation;
--- a/src/main/java/org/martenwell/configuration/Organisation.java
+++ b/src/main/java/org/martenwell/configuration/Organisation.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * An organisation that shares the fleet.
+ * A customer that shares the fleet with others.
  *
  * @param name The organisation's name.
- * @param contract The name of the contract that binds it.
+ * @param contract The name of its contract.
  * @param labels Labels that policies may read.
- * @param keyHashes The SHA-256 hashes of its callers' keys, in lower-case hexadecimal digits.
+ * @param keyHashes The SHA-256 hashes of its API keys, in lower-case hexadecimal digits.
  */
 public record Organisation(
         String name, String contract, Map<String, String> labels, List<String> keyHashes) {}
--- a/src/main/java/org/martenwell/configuration/Policy.java
+++ b/src/main/java/org/martenwell/configuration/Policy.java
@@ -1,9 +1,9 @@
 package org.martenwell.configuration;
 
 /**
- * A program that admits or refuses requests.
+ * A policy that admits, prioritises or refuses requests.
  *
  * @param name The policy's name.
- * @param program The program in CEL.
+ * @param program The source of the program, in CEL.
  */
 public record Policy(String name, String program) {}
--- a/src/main/java/org/martenwell/configuration/PolicyChecker.java
+++ b/src/main/java/org/martenwell/configuration/PolicyChecker.java
@@ -6,18 +6,18 @@
 import org.martenwell.json.Problem;
 import org.martenwell.policy.PolicyCompiler;
 
-/** Checks that every policy of a configuration compiles within its cost bound. */
+/** Checks that every policy of a configuration compiles within its cost limit. */
 public enum PolicyChecker {
 
     /** The only instance. */
     INSTANCE;
 
     /**
-     * Checks the policies of a configuration.
+     * Compiles all policies of a configuration.
      *
-     * @param file The name of the document.
+     * @param file The name of the document, for messages.
      * @param configuration The configuration.
-     * @return The problems found.
+     * @return A problem for each policy that doesn't compile.
      */
     public List<Problem> check(String file, FleetConfiguration configuration) {
         List<Problem> problems = new ArrayList<>();
--- a/src/main/java/org/martenwell/configuration/Pool.java
+++ b/src/main/java/org/martenwell/configuration/Pool.java
@@ -1,9 +1,9 @@
 package org.martenwell.configuration;
 
 /**
- * The targets that serve one model or one plain service, as seen by requests for it.
+ * The set of targets that serve one model or one plain service.
  *
- * @param kind Whether a model or a plain service is meant.
+ * @param kind The kind of work that the pool serves.
  * @param name The name of the model or plain service.
  */
 public record Pool(PoolKind kind, String name) {
@@ -12,7 +12,7 @@
      * Returns the pool of a model.
      *
      * @param name The model's name.
-     * @return The pool.
+     * @return The pool, whether or not a target serves it.
      */
     public static Pool ofModel(String name) {
         return new Pool(PoolKind.MODEL, name);
@@ -22,7 +22,7 @@
      * Returns the pool of a plain service.
      *
      * @param name The service's name.
-     * @return The pool.
+     * @return The pool, whether or not a target serves it.
      */
     public static Pool ofService(String name) {
         return new Pool(PoolKind.SERVICE, name);
--- a/src/main/java/org/martenwell/configuration/PoolKind.java
+++ b/src/main/java/org/martenwell/configuration/PoolKind.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** The two kinds of work that targets serve. */
+/** The kind of requests that a target serves. */
 public enum PoolKind {
 
     /** Requests to a model. */
--- a/src/main/java/org/martenwell/configuration/ReferenceChecker.java
+++ b/src/main/java/org/martenwell/configuration/ReferenceChecker.java
@@ -10,24 +10,18 @@
 import org.martenwell.json.Problem;
 import org.martenwell.service.IpAddress;
 
-/** Checks that the parts of a configuration refer to each other rightly. */
+/**
+ * Checks the uniqueness of names, the references between the parts of a configuration and the
+ * addresses of targets.
+ */
 final class ReferenceChecker {
 
-    /** The name of the document. */
     private final String file;
 
-    /** The configuration to check. */
     private final FleetConfiguration configuration;
 
-    /** The problems found so far. */
     private final List<Problem> problems = new ArrayList<>();
 
-    /**
-     * Creates a checker.
-     *
-     * @param file The name of the document.
-     * @param configuration The configuration to check.
-     */
     private ReferenceChecker(String file, FleetConfiguration configuration) {
         this.file = file;
         this.configuration = configuration;
@@ -36,9 +30,9 @@
     /**
      * Creates a checker.
      *
-     * @param file The name of the document.
+     * @param file The name of the document, for messages.
      * @param configuration The configuration to check.
-     * @return The checker.
+     * @return The checker, for one call of {@link #problems}.
      */
     static ReferenceChecker of(String file, FleetConfiguration configuration) {
         return new ReferenceChecker(file, configuration);
@@ -47,7 +41,7 @@
     /**
      * Checks the configuration.
      *
-     * @return The problems found.
+     * @return All problems found, empty if there are none.
      */
     List<Problem> problems() {
         Set<String> models = names("models", configuration.models(), Model::name);
@@ -63,7 +57,7 @@
     }
 
     /**
-     * Collects the names of a list and reports names that occur twice.
+     * Collects the names of a list and reports duplicates.
      *
      * @param list The field that holds the list.
      * @param items The items.
@@ -78,18 +72,13 @@
             if (!names.add(value)) {
                 report(
                         "/" + list + "/" + index + "/name",
-                        "the name " + value + " occurs twice",
-                        "one item a name");
+                        "duplicate name " + value,
+                        "a name that no other item has");
             }
         }
         return names;
     }
 
-    /**
-     * Checks that contracts name known policies.
-     *
-     * @param policies The names of the policies.
-     */
     private void checkContracts(Set<String> policies) {
         List<Contract> contracts = configuration.contracts();
         for (int index = 0; index < contracts.size(); index++) {
@@ -99,7 +88,7 @@
     }
 
     /**
-     * Checks that organisations name known contracts and share no key.
+     * Checks that organisations refer to known contracts and that no two share an API key.
      *
      * @param contracts The names of the contracts.
      */
@@ -108,22 +97,22 @@
         List<Organisation> organisations = configuration.organisations();
         for (int index = 0; index < organisations.size(); index++) {
             Organisation organisation = organisations.get(index);
-            String place = "/organisations/" + index;
-            checkReference(place + "/contract", organisation.contract(), contracts);
+            String pointer = "/organisations/" + index;
+            checkReference(pointer + "/contract", organisation.contract(), contracts);
             for (String hash : organisation.keyHashes()) {
                 String owner = owners.putIfAbsent(hash, organisation.name());
                 if (owner != null) {
                     report(
-                            place + "/keyHashes",
-                            "a key also belongs to " + owner,
-                            "keys of one organisation");
+                            pointer + "/keyHashes",
+                            "a key is already used by " + owner,
+                            "keys that no other organisation has");
                 }
             }
         }
     }
 
     /**
-     * Checks that targets serve known models and services at valid addresses.
+     * Checks that targets serve known models or services and have valid addresses.
      *
      * @param models The names of the models.
      * @param services The names of the plain services.
@@ -132,38 +121,31 @@
         List<Target> targets = configuration.targets();
         for (int index = 0; index < targets.size(); index++) {
             Target target = targets.get(index);
-            String place = "/targets/" + index;
+            String pointer = "/targets/" + index;
             Set<String> allowed = target.kind() == PoolKind.MODEL ? models : services;
             for (String name : target.serves()) {
-                checkReference(place + "/serves", name, allowed);
+                checkReference(pointer + "/serves", name, allowed);
             }
             if (IpAddress.parse(target.address()).isEmpty()) {
-                report(place + "/address", target.address(), "an IP number and a port");
+                report(pointer + "/address", target.address(), "an IP address and a port");
             }
         }
     }
 
-    /**
-     * Checks one reference.
-     *
-     * @param place The place of the reference.
-     * @param name The name referred to.
-     * @param known The known names.
-     */
-    private void checkReference(String place, String name, Set<String> known) {
+    private void checkReference(String pointer, String name, Set<String> known) {
         if (!known.contains(name)) {
-            report(place, "nothing is named " + name, "one of " + known.stream().sorted().toList());
+            report(pointer, "unknown name " + name, "one of " + known.stream().sorted().toList());
         }
     }
 
     /**
-     * Reports a problem.
+     * Adds a problem.
      *
-     * @param place The JSON pointer of the place.
-     * @param fault What is wrong there.
-     * @param allowed What is allowed there.
+     * @param pointer The JSON pointer of the faulty value.
+     * @param fault The fault.
+     * @param allowed The values that are allowed there.
      */
-    private void report(String place, String fault, String allowed) {
-        problems.add(new Problem(file, place, fault, allowed));
+    private void report(String pointer, String fault, String allowed) {
+        problems.add(new Problem(file, pointer, fault, allowed));
     }
 }
--- a/src/main/java/org/martenwell/configuration/Repeatability.java
+++ b/src/main/java/org/martenwell/configuration/Repeatability.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Set;
 
-/** Says which requests of a plain service may run more than once. */
+/** The rule by which requests to a plain service may run more than once, as a retry does. */
 public enum Repeatability {
 
-    /** Any request may run again. */
+    /** Every request may run again. */
     @JsonProperty("always")
     ALWAYS {
         @Override
@@ -15,12 +15,12 @@
         }
     },
 
-    /** Requests with an idempotent method may run again, as RFC 9110 defines it. */
+    /** Requests with an idempotent method, as RFC 9110 defines it, may run again. */
     @JsonProperty("by-method")
     BY_METHOD {
         @Override
         public boolean allows(String method) {
-            return IDEMPOTENT.contains(method);
+            return IDEMPOTENT_METHODS.contains(method);
         }
     },
 
@@ -34,14 +34,14 @@
     };
 
     /** The idempotent methods of RFC 9110, section 9.2.2. */
-    private static final Set<String> IDEMPOTENT =
+    private static final Set<String> IDEMPOTENT_METHODS =
             Set.of("GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE");
 
     /**
-     * Returns whether a request may run more than once.
+     * Checks whether a request may run more than once.
      *
-     * @param method The request's method.
-     * @return {@code true} if a request with this method may run again.
+     * @param method The HTTP method, in upper case.
+     * @return {@code true} if requests with this method may run again.
      */
     public abstract boolean allows(String method);
 }
--- a/src/main/java/org/martenwell/configuration/Target.java
+++ b/src/main/java/org/martenwell/configuration/Target.java
@@ -4,15 +4,15 @@
 import java.util.stream.Collectors;
 
 /**
- * A target that serves requests.
+ * A back end that serves requests.
  *
  * @param name The target's name.
- * @param address Its IP number and port.
- * @param failureDomain The failure domain it stands in.
- * @param kind Whether it serves models or plain services.
+ * @param address Its IP address and port.
+ * @param failureDomain The failure domain that it runs in.
+ * @param kind The kind of requests that it serves.
  * @param serves The names of the models or plain services that it serves.
- * @param slots How many requests it runs at once.
- * @param checksFences {@code true} if it checks the fence of an order.
+ * @param slots The number of requests that it runs at once.
+ * @param checksFences {@code true} if it rejects orders with an outdated fencing token.
  */
 public record Target(
         String name,
@@ -23,20 +23,16 @@
         int slots,
         boolean checksFences) {
 
-    /**
-     * Returns the pools that this target belongs to.
-     *
-     * @return The pools.
-     */
+    /** {@return the pools that this target belongs to, one for each name that it serves} */
     public List<Pool> pools() {
         return serves.stream().map(name -> new Pool(kind, name)).collect(Collectors.toList());
     }
 
     /**
-     * Returns whether this target serves a pool.
+     * Checks whether this target serves a pool.
      *
      * @param pool The pool.
-     * @return {@code true} if it does.
+     * @return {@code true} if kind and name match.
      */
     public boolean serves(Pool pool) {
         return kind == pool.kind() && serves.contains(pool.name());
--- a/src/main/java/org/martenwell/configuration/package-info.java
+++ b/src/main/java/org/martenwell/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet's configuration: its parts, how it is checked as a whole, and its compiled form. */
+/** The fleet's configuration: its data types, its validation and its indexed, compiled form. */
 package org.martenwell.configuration;
--- a/src/test/java/org/martenwell/configuration/FleetConfigurationReaderTest.java
+++ b/src/test/java/org/martenwell/configuration/FleetConfigurationReaderTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void testAllProblemsOfAShapeAreListedAtOnce() throws Exception {
+    void testAllSchemaProblemsAreListedTogether() throws Exception {
         String text =
                 example()
                         .replace("\"weight\": 1,", "\"weight\": -1,")
@@ -36,43 +36,43 @@
     }
 
     @Test
-    void testAllWrongReferencesAreListedAtOnce() throws Exception {
+    void testAllInvalidReferencesAreListedTogether() throws Exception {
         String text =
                 example()
                         .replace("\"contract\": \"large\"", "\"contract\": \"none\"")
                         .replace("\"policy\": \"everyone\"", "\"policy\": \"nobody\"")
                         .replace("127.0.0.1:7101", "engine.example:7101");
         assertThatThrownBy(() -> FleetConfigurationReader.INSTANCE.read("f", text))
-                .hasMessageContaining("nothing is named none")
-                .hasMessageContaining("nothing is named nobody")
-                .hasMessageContaining("an IP number and a port");
+                .hasMessageContaining("unknown name none")
+                .hasMessageContaining("unknown name nobody")
+                .hasMessageContaining("an IP address and a port");
     }
 
     @Test
-    void testPolicyThatDoesNotCompileIsAProblem() throws Exception {
+    void testPolicyThatDoesNotCompileIsReported() throws Exception {
         String text = example().replace("allow(", "alow(");
         assertThatThrownBy(() -> FleetConfigurationReader.INSTANCE.read("f", text))
                 .hasMessageContaining("/policies/0/program");
     }
 
     @Property(tries = 500, seed = "1")
-    void testAnyTextIsReadOrRefused(@ForAll String text) {
-        assertReadOrRefused(text);
+    void testArbitraryTextIsReadOrRejected(@ForAll String text) {
+        assertReadOrRejected(text);
     }
 
     @Property(tries = 500, seed = "2")
-    void testDamagedExamplesAreReadOrRefused(@ForAll int place, @ForAll char other)
+    void testCorruptedExampleIsReadOrRejected(@ForAll int position, @ForAll char replacement)
             throws Exception {
         StringBuilder text = new StringBuilder(example());
-        text.setCharAt(Math.floorMod(place, text.length()), other);
-        assertReadOrRefused(text.toString());
+        text.setCharAt(Math.floorMod(position, text.length()), replacement);
+        assertReadOrRejected(text.toString());
     }
 
-    private static void assertReadOrRefused(String text) {
+    private static void assertReadOrRejected(String text) {
         try {
             FleetConfigurationReader.INSTANCE.read("f", text);
-        } catch (MartenwellException refused) {
-            assertThat(refused.kind()).isEqualTo(ErrorKind.INVALID_DOCUMENT);
+        } catch (MartenwellException rejection) {
+            assertThat(rejection.kind()).isEqualTo(ErrorKind.INVALID_DOCUMENT);
         }
     }
 
