--- a/src/main/java/org/martenwell/settings/GatewaySettings.java
+++ b/src/main/java/org/martenwell/settings/GatewaySettings.java
@@ -3,23 +3,23 @@
 import java.util.Optional;
 
 /**
- * The settings of a gateway.
+ * The settings of a gateway. All addresses are an IP address and a port.
  *
  * @param name The gateway's name, unique in the fleet.
- * @param failureDomain The failure domain that its box stands in.
+ * @param failureDomain The failure domain that its box belongs to.
  * @param deployment The name of the deployment that it runs on.
- * @param callerAddress Where it takes callers' requests.
- * @param readinessAddress Where the balancer asks whether it is ready.
- * @param peerAddress Where it takes peers' connections.
- * @param directoryAddress Where the directory is.
- * @param peerKey The key that peers share.
- * @param metricsAddress Where it tells its metrics, if anywhere.
- * @param processor The processor time that it may use, if it is known.
- * @param stopSeconds Within which time a stopping gateway ends, in seconds.
- * @param retryShare How many retries the fleet may make for each request.
- * @param retryAllowance How many retries the fleet may make besides in a window.
- * @param retryWindowSeconds The window, in seconds.
- * @param shareWindowSeconds Over how long fair shares are counted, in seconds.
+ * @param callerAddress The address that accepts callers' requests.
+ * @param readinessAddress The address at which the load balancer checks its readiness.
+ * @param peerAddress The address that accepts connections of peers.
+ * @param directoryAddress The address of the directory.
+ * @param peerKey The secret key that all peers share.
+ * @param metricsAddress The address that serves metrics, or empty to serve none.
+ * @param processor The processor time that it may use, or empty if unknown.
+ * @param stopSeconds The time limit of a graceful stop, in seconds.
+ * @param retryShare The retry budget of the fleet as a share of its requests, from 0 to 1.
+ * @param retryAllowance The number of retries in a window beyond that share.
+ * @param retryWindowSeconds The window of the retry budget, in seconds.
+ * @param shareWindowSeconds The window in which fair shares are measured, in seconds.
  */
 public record GatewaySettings(
         String name,
@@ -38,33 +38,20 @@
         double retryWindowSeconds,
         double shareWindowSeconds) {
 
-    /** How many milliseconds a second has. */
-    private static final double SECOND_MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /**
-     * Returns within which time a stopping gateway ends.
-     *
-     * @return The time in milliseconds.
-     */
+    /** {@return the time limit of a graceful stop, in milliseconds} */
     public long stopMillis() {
-        return Math.round(stopSeconds * SECOND_MILLIS);
+        return Math.round(stopSeconds * MILLIS_PER_SECOND);
     }
 
-    /**
-     * Returns the window in which retries are counted.
-     *
-     * @return The window in milliseconds.
-     */
+    /** {@return the window of the retry budget, in milliseconds} */
     public long retryWindowMillis() {
-        return Math.round(retryWindowSeconds * SECOND_MILLIS);
+        return Math.round(retryWindowSeconds * MILLIS_PER_SECOND);
     }
 
-    /**
-     * Returns over how long fair shares are counted.
-     *
-     * @return The window in milliseconds.
-     */
+    /** {@return the window in which fair shares are measured, in milliseconds} */
     public long shareWindowMillis() {
-        return Math.round(shareWindowSeconds * SECOND_MILLIS);
+        return Math.round(shareWindowSeconds * MILLIS_PER_SECOND);
     }
 }
--- a/src/main/java/org/martenwell/settings/GatewaySettingsParser.java
+++ b/src/main/java/org/martenwell/settings/GatewaySettingsParser.java
@@ -10,56 +10,54 @@
 import org.martenwell.service.IpAddress;
 
 /**
- * Reads a gateway's settings without a schema, whose check loaded 760 of the 3,600 classes of a
- * start. What it accepts the schema accepts too; all else it leaves to the schema, which explains
- * what is wrong.
+ * Parses valid gateway settings without loading the schema validator, which shortens a gateway's
+ * start. It accepts no document that the schema rejects; for any other it returns empty, and the
+ * schema validator reports the problems.
  */
 final class GatewaySettingsParser {
 
-    /** The field with the processor time. */
+    /** The field with the processor time, the only nested object. */
     private static final String PROCESSOR = "processor";
 
-    /** The longest name of a gateway or failure domain. */
-    private static final int MAX_NAME = 64;
+    /**
+     * The greatest length of the name of a gateway, failure domain or deployment, in characters.
+     */
+    private static final int MAX_NAME_LENGTH = 64;
 
-    /** The shortest key that peers may share. */
-    private static final int MIN_KEY = 32;
+    /** The least length of the key that peers share, in characters. */
+    private static final int MIN_KEY_LENGTH = 32;
 
-    /** The longest key that peers may share. */
-    private static final int MAX_KEY = 256;
+    /** The greatest length of the key that peers share, in characters. */
+    private static final int MAX_KEY_LENGTH = 256;
 
-    /** The most processors and the greatest speed of one. */
+    /** The greatest share and the greatest speed of a processor. */
     private static final double MAX_PROCESSORS = 1_024;
 
-    /** The longest time, in seconds. */
+    /** The longest time or window, in seconds. */
     private static final double MAX_SECONDS = 3_600;
 
-    /** The shortest window, in seconds. */
     private static final double MIN_WINDOW_SECONDS = 0.1;
 
-    /** The greatest allowance of retries. */
-    private static final double MAX_ALLOWANCE = 1_000_000;
+    private static final double MAX_RETRY_ALLOWANCE = 1_000_000;
 
-    /** The texts by field that were not taken yet. */
+    /** The strings by field path; a field is removed once it is read. */
     private final Map<String, String> texts = new HashMap<>();
 
-    /** The numbers by field that were not taken yet. */
+    /** The numbers by field path; a field is removed once it is read. */
     private final Map<String, Double> numbers = new HashMap<>();
 
-    /** Whether the processor time is given. */
-    private boolean processorGiven;
+    private boolean hasProcessor;
 
-    /** Whether all that was taken is valid. */
+    /** Stays {@code true} while all fields that were read are valid. */
     private boolean valid = true;
 
-    /** Created by {@link #parse}. */
     private GatewaySettingsParser() {}
 
     /**
-     * Reads settings.
+     * Parses settings.
      *
      * @param text The document, JSON with comments.
-     * @return The settings or empty if they are not plainly valid.
+     * @return The settings, or empty if the schema validator has to check them.
      */
     static Optional<GatewaySettings> parse(String text) {
         GatewaySettingsParser fields = new GatewaySettingsParser();
@@ -70,17 +68,17 @@
                             && parser.nextToken() == null;
             return read ? fields.settings() : Optional.empty();
         } catch (IOException exception) {
-            // The reader by schema meets the same error and tells where it is.
+            // SettingsReader parses the document again and reports the position of the error.
             return Optional.empty();
         }
     }
 
     /**
-     * Reads the fields of an object.
+     * Reads the fields of an object into {@link #texts} and {@link #numbers}.
      *
-     * @param parser Stands at the object's begin.
-     * @param path The path of the object, empty for the document.
-     * @return {@code true} if all fields have types that settings have.
+     * @param parser The parser, positioned at the start of the object.
+     * @param path The prefix of the fields' paths, empty for the document.
+     * @return {@code false} if a value has a type that no setting has.
      * @throws IOException If the document is malformed.
      */
     private boolean readObject(JsonParser parser, String path) throws IOException {
@@ -92,7 +90,7 @@
             } else if (value.isNumeric()) {
                 numbers.put(name, parser.getDoubleValue());
             } else if (value == JsonToken.START_OBJECT && name.equals(PROCESSOR)) {
-                processorGiven = true;
+                hasProcessor = true;
                 if (!readObject(parser, PROCESSOR + "/")) {
                     return false;
                 }
@@ -104,41 +102,36 @@
     }
 
     /**
-     * Builds the settings.
+     * Builds the settings from the fields.
      *
-     * @return The settings or empty if a field is missing, unknown or out of its range.
+     * @return The settings, or empty if a field is missing, unknown or out of range.
      */
     private Optional<GatewaySettings> settings() {
         GatewaySettings settings =
                 new GatewaySettings(
                         name("name"),
                         name("failureDomain"),
-                        text("deployment", 1, MAX_NAME),
+                        text("deployment", 1, MAX_NAME_LENGTH),
                         address("callerAddress"),
                         address("readinessAddress"),
                         address("peerAddress"),
                         address("directoryAddress"),
-                        text("peerKey", MIN_KEY, MAX_KEY),
+                        text("peerKey", MIN_KEY_LENGTH, MAX_KEY_LENGTH),
                         texts.containsKey("metricsAddress")
                                 ? Optional.of(address("metricsAddress"))
                                 : Optional.empty(),
                         processor(),
                         number("stopSeconds", 0, MAX_SECONDS),
                         number("retryShare", 0, 1),
-                        number("retryAllowance", 0, MAX_ALLOWANCE),
+                        number("retryAllowance", 0, MAX_RETRY_ALLOWANCE),
                         number("retryWindowSeconds", MIN_WINDOW_SECONDS, MAX_SECONDS),
                         number("shareWindowSeconds", MIN_WINDOW_SECONDS, MAX_SECONDS));
-        boolean whole = valid && texts.isEmpty() && numbers.isEmpty();
-        return whole ? Optional.of(settings) : Optional.empty();
+        boolean complete = valid && texts.isEmpty() && numbers.isEmpty();
+        return complete ? Optional.of(settings) : Optional.empty();
     }
 
-    /**
-     * Takes the processor time.
-     *
-     * @return The processor time or empty if it is not given.
-     */
     private Optional<ProcessorSettings> processor() {
-        if (!processorGiven) {
+        if (!hasProcessor) {
             return Optional.empty();
         }
         return Optional.of(
@@ -148,52 +141,41 @@
     }
 
     /**
-     * Takes a text.
+     * Removes and checks a string field.
      *
      * @param field The field.
-     * @param least The least number of characters.
-     * @param most The greatest number of characters.
-     * @return The text, empty if it is not valid.
+     * @param min The least number of characters.
+     * @param max The greatest number of characters.
+     * @return The text, empty if the field is missing.
      */
-    private String text(String field, int least, int most) {
+    private String text(String field, int min, int max) {
         String text = Optional.ofNullable(texts.remove(field)).orElse("");
         int length = text.codePointCount(0, text.length());
-        valid = valid && length >= least && length <= most;
+        valid = valid && length >= min && length <= max;
         return text;
     }
 
     /**
-     * Takes a name.
+     * Removes and checks a name, which has letters, digits, dots, underscores and hyphens and
+     * starts with a letter or digit.
      *
      * @param field The field.
-     * @return The name, empty if it is not valid.
+     * @return The name, empty if the field is missing.
      */
     private String name(String field) {
-        String name = text(field, 1, MAX_NAME);
+        String name = text(field, 1, MAX_NAME_LENGTH);
         valid = valid && isAlphanumeric(name.charAt(0));
-        valid = valid && name.chars().allMatch(GatewaySettingsParser::isInName);
+        valid = valid && name.chars().allMatch(GatewaySettingsParser::isNameCharacter);
         return name;
     }
 
-    /**
-     * Tells whether a character may stand in a name.
-     *
-     * @param character The character.
-     * @return {@code true} if so.
-     */
-    private static boolean isInName(int character) {
+    private static boolean isNameCharacter(int character) {
         return isAlphanumeric(character)
                 || character == '.'
                 || character == '_'
                 || character == '-';
     }
 
-    /**
-     * Tells whether a character may begin a name.
-     *
-     * @param character The character.
-     * @return {@code true} if so.
-     */
     private static boolean isAlphanumeric(int character) {
         return (character >= 'a' && character <= 'z')
                 || (character >= 'A' && character <= 'Z')
@@ -201,10 +183,10 @@
     }
 
     /**
-     * Takes an address.
+     * Removes and checks an address.
      *
      * @param field The field.
-     * @return The address, empty if it is not valid.
+     * @return The address, empty if the field is missing.
      */
     private String address(String field) {
         String address = Optional.ofNullable(texts.remove(field)).orElse("");
@@ -213,20 +195,20 @@
     }
 
     /**
-     * Takes a number.
+     * Removes and checks a number.
      *
      * @param field The field.
-     * @param least The least allowed.
-     * @param most The greatest allowed.
-     * @return The number, 0 if it is not there.
+     * @param min The least allowed value.
+     * @param max The greatest allowed value.
+     * @return The number, 0 if the field is missing.
      */
-    private double number(String field, double least, double most) {
+    private double number(String field, double min, double max) {
         Double number = numbers.remove(field);
         if (number == null) {
             valid = false;
             return 0;
         }
-        valid = valid && number >= least && number <= most;
+        valid = valid && number >= min && number <= max;
         return number;
     }
 }
--- a/src/main/java/org/martenwell/settings/RouterLimits.java
+++ b/src/main/java/org/martenwell/settings/RouterLimits.java
@@ -6,13 +6,14 @@
  * The limits of a router.
  *
  * @param maxBodyBytes The largest body of a request, in bytes.
- * @param maxConnections The most connections of callers at once.
- * @param maxWaiting The most requests that wait at once.
- * @param maxWaitingBytes The most memory that waiting requests hold, in bytes.
- * @param headerTimeoutMillis How long a caller may take to send or take a message, in milliseconds.
- * @param drainMillis How long a stop waits for requests to end, in milliseconds.
- * @param balancerMillis How long a stopping router goes on taking requests until the balancer has
- *     noticed, in milliseconds.
+ * @param maxConnections The limit on open connections of callers.
+ * @param maxWaiting The limit on waiting requests.
+ * @param maxWaitingBytes The limit on the memory of waiting requests, in bytes.
+ * @param headerTimeoutMillis The timeout for sending or receiving a message on a caller's
+ *     connection, in milliseconds.
+ * @param drainMillis The time that a drain waits for requests to finish, in milliseconds.
+ * @param balancerMillis The time for which a draining router still accepts requests, so that the
+ *     load balancer can notice, in milliseconds.
  */
 public record RouterLimits(
         int maxBodyBytes,
@@ -23,20 +24,22 @@
         long drainMillis,
         long balancerMillis) {
 
-    /** The limits in force where the settings name none. */
+    /** The default limits. */
     public static final RouterLimits DEFAULTS =
             new RouterLimits(4 << 20, 20_000, 10_000, 64L << 20, 30_000, 60_000, 5_000);
 
     /**
-     * Creates limits from settings, with defaults for what is absent.
+     * Creates limits from settings; Jackson passes {@code null} for absent fields, which get their
+     * defaults.
      *
-     * @param maxBodyBytes The largest body or {@code null}.
-     * @param maxConnections The most connections or {@code null}.
-     * @param maxWaiting The most waiting requests or {@code null}.
-     * @param maxWaitingBytes The most memory of waiting requests or {@code null}.
-     * @param headerTimeoutMillis The time for a message or {@code null}.
-     * @param drainMillis The time for requests to end or {@code null}.
-     * @param balancerMillis The time for the balancer or {@code null}.
+     * @param maxBodyBytes The largest body of a request, in bytes, or {@code null}.
+     * @param maxConnections The limit on connections or {@code null}.
+     * @param maxWaiting The limit on waiting requests or {@code null}.
+     * @param maxWaitingBytes The limit on the memory of waiting requests, in bytes, or {@code
+     *     null}.
+     * @param headerTimeoutMillis The timeout for a message, in milliseconds, or {@code null}.
+     * @param drainMillis The time limit of a drain, in milliseconds, or {@code null}.
+     * @param balancerMillis The time for the load balancer, in milliseconds, or {@code null}.
      * @return The limits.
      */
     @com.fasterxml.jackson.annotation.JsonCreator
@@ -58,15 +61,7 @@
                 orElse(balancerMillis, DEFAULTS.balancerMillis));
     }
 
-    /**
-     * Returns a value or its default.
-     *
-     * @param value The value or {@code null}.
-     * @param otherwise The default.
-     * @param <T> The type of the value.
-     * @return The value if there is one, else the default.
-     */
-    private static <T> T orElse(T value, T otherwise) {
-        return value == null ? otherwise : value;
+    private static <T> T orElse(T value, T defaultValue) {
+        return value == null ? defaultValue : value;
     }
 }
--- a/src/main/java/org/martenwell/settings/RouterSettings.java
+++ b/src/main/java/org/martenwell/settings/RouterSettings.java
@@ -4,18 +4,19 @@
 import java.util.Optional;
 
 /**
- * The settings of a router.
+ * The settings of a router. All addresses are an IP address and a port.
  *
  * @param name The router's name, unique in the fleet.
- * @param failureDomain The failure domain that its box stands in.
- * @param callerAddress Where it takes callers' requests.
- * @param operatorAddress Where it takes operators' requests.
- * @param peerAddress Where it takes peers' connections.
- * @param platformAddress The platform's address.
- * @param operatorToken The token that operators' changes need.
- * @param peerKey The key that peers share.
- * @param seedPeers Addresses of peers to ask while the platform does not answer.
- * @param limits The limits.
+ * @param failureDomain The failure domain that its box belongs to.
+ * @param callerAddress The address that accepts callers' requests.
+ * @param operatorAddress The address that accepts operators' requests.
+ * @param peerAddress The address that accepts connections of peers.
+ * @param platformAddress The address of the platform.
+ * @param operatorToken The token that operators need to change the router.
+ * @param peerKey The secret key that all peers share.
+ * @param seedPeers The addresses of peers to connect to while the platform is unavailable, or empty
+ *     for none.
+ * @param limits The limits, or empty for the defaults.
  */
 public record RouterSettings(
         String name,
@@ -29,11 +30,7 @@
         Optional<List<String>> seedPeers,
         Optional<RouterLimits> limits) {
 
-    /**
-     * Returns the limits in force.
-     *
-     * @return The limits, with defaults for what is absent.
-     */
+    /** {@return the limits of the settings, or the defaults if there are none} */
     public RouterLimits effectiveLimits() {
         return limits.orElse(RouterLimits.DEFAULTS);
     }
--- a/src/main/java/org/martenwell/settings/SettingsReader.java
+++ b/src/main/java/org/martenwell/settings/SettingsReader.java
@@ -19,41 +19,33 @@
 import org.martenwell.service.IpAddress;
 
 /**
- * Reads settings of one kind of process and checks them whole.
+ * Reads and validates the settings of one type of process.
  *
  * @param <T> The type of the settings.
  */
 public final class SettingsReader<T> {
 
-    /** The name of the schema among this program's resources. */
+    /** The resource with the JSON schema. */
     private final String schema;
 
-    /** The type of the settings. */
     private final Class<T> type;
 
     /**
-     * Reads plainly valid settings without the schema. Empty for all others, whose problems the
-     * schema then lists.
+     * Parses valid settings without the schema; returns empty for documents that the schema has to
+     * check.
      */
-    private final Function<String, Optional<T>> plain;
+    private final Function<String, Optional<T>> fastParser;
 
-    /**
-     * Creates a reader.
-     *
-     * @param schema The name of the schema among this program's resources.
-     * @param type The type of the settings.
-     * @param plain Reads plainly valid settings without the schema, empty for all others.
-     */
-    private SettingsReader(String schema, Class<T> type, Function<String, Optional<T>> plain) {
+    private SettingsReader(String schema, Class<T> type, Function<String, Optional<T>> fastParser) {
         this.schema = schema;
         this.type = type;
-        this.plain = plain;
+        this.fastParser = fastParser;
     }
 
     /**
-     * Creates a reader.
+     * Creates a reader that validates with a schema.
      *
-     * @param resource The name of the schema among this program's resources.
+     * @param resource The resource with the JSON schema.
      * @param type The type of the settings.
      * @param <T> The type of the settings.
      * @return The reader.
@@ -62,19 +54,13 @@
         return new SettingsReader<>(resource, type, text -> Optional.empty());
     }
 
-    /**
-     * Creates a reader of a router's settings.
-     *
-     * @return The reader.
-     */
+    /** {@return a reader of routers' settings} */
     public static SettingsReader<RouterSettings> ofRouter() {
         return of("/schema/router.schema.json", RouterSettings.class);
     }
 
     /**
-     * Creates a reader of a gateway's settings.
-     *
-     * @return The reader.
+     * {@return a reader of gateways' settings, which loads the schema only for invalid documents}
      */
     public static SettingsReader<GatewaySettings> ofGateway() {
         return new SettingsReader<>(
@@ -82,7 +68,8 @@
     }
 
     /**
-     * Reads settings, or throws an exception that lists all their problems.
+     * Reads a settings file. If the settings are not valid, throws an exception that lists all
+     * problems.
      *
      * @param path The file.
      * @return The settings.
@@ -92,24 +79,25 @@
     }
 
     /**
-     * Reads settings, or throws an exception that lists all their problems.
+     * Reads settings. If they are not valid, throws an exception that lists all problems.
      *
-     * @param file The name of the document.
+     * @param file The name of the document, for messages.
      * @param text The document, JSON with comments.
      * @return The settings.
      */
     public T read(String file, String text) {
-        return plain.apply(text).orElseGet(() -> readChecked(file, text));
+        return fastParser.apply(text).orElseGet(() -> readWithSchema(file, text));
     }
 
     /**
-     * Reads settings by their schema, or throws an exception that lists all their problems.
+     * Reads settings and validates them with the schema. If they are not valid, throws an exception
+     * that lists all problems.
      *
-     * @param file The name of the document.
+     * @param file The name of the document, for messages.
      * @param text The document, JSON with comments.
      * @return The settings.
      */
-    T readChecked(String file, String text) {
+    T readWithSchema(String file, String text) {
         JsonNode root = JsonDocuments.parse(file, text);
         List<Problem> problems = new ArrayList<>(SchemaChecker.of(schema).check(file, root));
         checkAddresses(file, root, problems);
@@ -118,7 +106,8 @@
     }
 
     /**
-     * Reads a file.
+     * Reads a file in UTF-8. Throws an exception of kind {@link ErrorKind#INPUT_OUTPUT} if that
+     * fails.
      *
      * @param path The file.
      * @return Its text.
@@ -128,14 +117,14 @@
             return Files.readString(path);
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INPUT_OUTPUT, path + " is not readable.", exception);
+                    ErrorKind.INPUT_OUTPUT, "Cannot read " + path + ".", exception);
         }
     }
 
     /**
-     * Checks every field whose name ends in {@code ddress}.
+     * Checks the top-level string fields whose names end in {@code Address} or {@code address}.
      *
-     * @param file The name of the document.
+     * @param file The name of the document, for messages.
      * @param root The document.
      * @param problems Receives the problems.
      */
@@ -143,14 +132,14 @@
         Iterator<Map.Entry<String, JsonNode>> fields = root.properties().iterator();
         while (fields.hasNext()) {
             Map.Entry<String, JsonNode> field = fields.next();
-            boolean address = field.getKey().endsWith("ddress") && field.getValue().isTextual();
-            if (address && IpAddress.parse(field.getValue().asText()).isEmpty()) {
+            boolean isAddress = field.getKey().endsWith("ddress") && field.getValue().isTextual();
+            if (isAddress && IpAddress.parse(field.getValue().asText()).isEmpty()) {
                 problems.add(
                         new Problem(
                                 file,
                                 "/" + field.getKey(),
-                                field.getValue().asText() + " is no address",
-                                "an IP number and a port, such as 127.0.0.1:8080"));
+                                field.getValue().asText() + " is not an address",
+                                "an IP address and a port, such as 127.0.0.1:8080"));
             }
         }
     }
--- a/src/main/java/org/martenwell/settings/package-info.java
+++ b/src/main/java/org/martenwell/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of processes, JSON with comments, checked before use. */
+/** The settings of processes, read from JSON with comments and validated before use. */
 package org.martenwell.settings;
--- a/src/test/java/org/martenwell/settings/SettingsReaderTest.java
+++ b/src/test/java/org/martenwell/settings/SettingsReaderTest.java
@@ -16,51 +16,51 @@
 class SettingsReaderTest {
 
     @Test
-    void testExampleHasNoProblems() {
+    void testRouterExampleIsValid() {
         RouterSettings settings = SettingsReader.ofRouter().read(Path.of("examples/router-0.json"));
         assertThat(settings.name()).isEqualTo("router-0");
         assertThat(settings.effectiveLimits().maxBodyBytes()).isEqualTo(4194304);
     }
 
     @Test
-    void testUnknownFieldAndWrongAddressAreListedTogether() throws Exception {
+    void testUnknownFieldAndInvalidAddressAreListedTogether() throws Exception {
         String text =
-                example()
+                routerExample()
                         .replace("\"name\"", "\"nam\"")
                         .replace("127.0.0.1:7001", "localhost:7001");
         assertThatThrownBy(() -> SettingsReader.ofRouter().read("s", text))
                 .hasMessageContaining("nam")
-                .hasMessageContaining("localhost:7001 is no address");
+                .hasMessageContaining("localhost:7001 is not an address");
     }
 
     @Test
-    void testFieldGivenTwiceIsRefused() throws Exception {
-        String text = example().replace("\"name\"", "\"name\": \"x\", \"name\"");
+    void testDuplicateFieldIsRejected() throws Exception {
+        String text = routerExample().replace("\"name\"", "\"name\": \"x\", \"name\"");
         assertThatThrownBy(() -> SettingsReader.ofRouter().read("s", text))
                 .isInstanceOf(MartenwellException.class);
     }
 
     @Property(tries = 500, seed = "1")
-    void testDamagedExamplesAreReadOrRefused(@ForAll int place, @ForAll char other)
+    void testCorruptedRouterExampleIsReadOrRejected(@ForAll int position, @ForAll char replacement)
             throws Exception {
-        StringBuilder text = new StringBuilder(example());
-        text.setCharAt(Math.floorMod(place, text.length()), other);
+        StringBuilder text = new StringBuilder(routerExample());
+        text.setCharAt(Math.floorMod(position, text.length()), replacement);
         try {
             SettingsReader.ofRouter().read("s", text.toString());
-        } catch (MartenwellException refused) {
-            assertThat(refused.kind()).isEqualTo(ErrorKind.INVALID_DOCUMENT);
+        } catch (MartenwellException rejection) {
+            assertThat(rejection.kind()).isEqualTo(ErrorKind.INVALID_DOCUMENT);
         }
     }
 
     @Test
-    void testExampleOfAGatewayIsReadWithoutItsSchema() throws Exception {
+    void testGatewayExampleIsParsedWithoutSchema() throws Exception {
         String text = gatewayExample();
         assertThat(GatewaySettingsParser.parse(text))
-                .contains(SettingsReader.ofGateway().readChecked("s", text));
+                .contains(SettingsReader.ofGateway().readWithSchema("s", text));
     }
 
     @Test
-    void testProblemsOfAGatewayAreListedByItsSchema() throws Exception {
+    void testGatewayProblemsAreListedBySchema() throws Exception {
         String text =
                 gatewayExample()
                         .replace("\"name\"", "\"nam\"")
@@ -68,20 +68,20 @@
                         .replace("\"retryShare\": 0.2", "\"retryShare\": 2");
         assertThatThrownBy(() -> SettingsReader.ofGateway().read("s", text))
                 .hasMessageContaining("nam")
-                .hasMessageContaining("localhost:9 is no address")
+                .hasMessageContaining("localhost:9 is not an address")
                 .hasMessageContaining("retryShare");
     }
 
     @Property(tries = 2_000, seed = "1")
-    void testWhatIsReadWithoutTheSchemaIsWhatTheSchemaReads(
-            @ForAll int place, @ForAll @CharRange(from = ' ', to = '~') char other)
+    void testParserAcceptsOnlyWhatSchemaAccepts(
+            @ForAll int position, @ForAll @CharRange(from = ' ', to = '~') char replacement)
             throws Exception {
         StringBuilder text = new StringBuilder(gatewayExample());
-        text.setCharAt(Math.floorMod(place, text.length()), other);
-        Optional<GatewaySettings> read = GatewaySettingsParser.parse(text.toString());
-        if (read.isPresent()) {
-            assertThat(SettingsReader.ofGateway().readChecked("s", text.toString()))
-                    .isEqualTo(read.get());
+        text.setCharAt(Math.floorMod(position, text.length()), replacement);
+        Optional<GatewaySettings> parsed = GatewaySettingsParser.parse(text.toString());
+        if (parsed.isPresent()) {
+            assertThat(SettingsReader.ofGateway().readWithSchema("s", text.toString()))
+                    .isEqualTo(parsed.get());
         }
     }
 
@@ -89,7 +89,7 @@
         return Files.readString(Path.of("examples/gateway.json"));
     }
 
-    private static String example() throws Exception {
+    private static String routerExample() throws Exception {
         return Files.readString(Path.of("examples/router-0.json"));
     }
 }
