--- a/src/main/java/org/martenwell/command/ApplyCommand.java
+++ b/src/main/java/org/martenwell/command/ApplyCommand.java
@@ -15,17 +15,17 @@
 import org.martenwell.operator.OperatorServlet;
 import org.martenwell.settings.SettingsReader;
 
-/** Applies a fleet configuration through any router. */
+/** Checks a fleet configuration and applies it through any router. */
 enum ApplyCommand implements Command {
 
     /** The only instance. */
     INSTANCE;
 
-    /** Names the version that the change is based on. */
-    private static final String BASE = "base";
+    /** The option with the version that the change is based on. */
+    private static final String BASE_OPTION = "base";
 
-    /** Asks for a check without a change. */
-    private static final String DRY_RUN = "dry-run";
+    /** The option that checks the file and the version without a change. */
+    private static final String DRY_RUN_OPTION = "dry-run";
 
     @Override
     public String arguments() {
@@ -34,7 +34,7 @@
 
     @Override
     public String summary() {
-        return "Applies a fleet configuration and tells whether every router has it in force.";
+        return "Applies a fleet configuration and reports whether it is active on every router.";
     }
 
     @Override
@@ -43,10 +43,11 @@
                 OptionSet.operator(),
                 OptionSet.tokenFile(),
                 OptionSet.required(
-                        BASE,
+                        BASE_OPTION,
                         "VERSION",
                         "the version that the change is based on, 0 for the first"),
-                OptionSet.flag(DRY_RUN, "checks the file and the version but changes nothing"));
+                OptionSet.flag(
+                        DRY_RUN_OPTION, "checks the file and the version but changes nothing"));
     }
 
     @Override
@@ -54,34 +55,34 @@
         Path file = OptionSet.file(line);
         String text = SettingsReader.readText(file);
         FleetConfigurationReader.INSTANCE.read(file.toString(), text);
-        String base = line.getOptionValue(BASE);
+        String base = line.getOptionValue(BASE_OPTION);
         OperatorClient client = new OperatorClient(line.getOptionValue(OptionSet.OPERATOR));
-        if (line.hasOption(DRY_RUN)) {
+        if (line.hasOption(DRY_RUN_OPTION)) {
             dryRun(client, base, out);
             return;
         }
-        HttpAnswer answer =
+        HttpAnswer response =
                 client.change(
                         HttpMethod.PUT,
                         "/configuration",
                         OptionSet.token(line),
                         List.of(new HeaderField(OperatorServlet.BASE_VERSION, base)),
                         text.getBytes(StandardCharsets.UTF_8));
-        out.print(new String(answer.body(), StandardCharsets.UTF_8));
+        out.print(new String(response.body(), StandardCharsets.UTF_8));
     }
 
     /**
-     * Checks that the version in force is the one that the change is based on.
+     * Throws an exception if the active version isn't the one that the change is based on.
      *
-     * @param client Calls the router.
+     * @param client The client of the router.
      * @param base The version that the change is based on.
-     * @param out Receives the output.
+     * @param out The stream for the result.
      */
     private static void dryRun(OperatorClient client, String base, PrintStream out) {
         String current = ShowCommand.version(client);
         if (!current.equals(base)) {
             throw MartenwellException.of(
-                    ErrorKind.VERSION_CONFLICT, "Version " + current + " is in force.");
+                    ErrorKind.VERSION_CONFLICT, "Version " + current + " is active.");
         }
         out.println("no problems, version " + current + " is in force");
     }
--- a/src/main/java/org/martenwell/command/CheckCommand.java
+++ b/src/main/java/org/martenwell/command/CheckCommand.java
@@ -16,7 +16,7 @@
 import org.martenwell.standin.PlatformSettings;
 import org.martenwell.standin.TargetSettings;
 
-/** Checks settings and configuration files without using them. */
+/** Validates settings and configuration files without using them. */
 enum CheckCommand implements Command {
 
     /** The only instance. */
@@ -40,12 +40,12 @@
     @Override
     public void run(CommandLine line, PrintStream out) {
         if (line.getArgList().isEmpty()) {
-            throw MartenwellException.of(ErrorKind.USAGE, "At least one file is needed.");
+            throw MartenwellException.of(ErrorKind.USAGE, "At least one file is required.");
         }
         List<String> problems = new ArrayList<>();
         for (String file : line.getArgList()) {
             try {
-                out.println(file + ": " + check(file) + ", no problems");
+                out.println(file + ": " + checkFile(file) + ", no problems");
             } catch (MartenwellException invalid) {
                 if (invalid.kind() != ErrorKind.INVALID_DOCUMENT) {
                     throw invalid;
@@ -59,12 +59,12 @@
     }
 
     /**
-     * Checks one file.
+     * Validates one file. Its type is recognised by a field that only documents of this type have.
      *
      * @param file The file.
-     * @return What kind of document it is.
+     * @return The type of document, for the output.
      */
-    private static String check(String file) {
+    private static String checkFile(String file) {
         String text = SettingsReader.readText(Path.of(file));
         JsonNode root = JsonDocuments.parse(file, text);
         if (root.has("warmUpSeconds")) {
--- a/src/main/java/org/martenwell/command/Command.java
+++ b/src/main/java/org/martenwell/command/Command.java
@@ -4,35 +4,24 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** One command of the executable. */
+/** A command of the executable, such as {@code check}. */
 interface Command {
 
-    /**
-     * Returns the words that follow the name, for the help.
-     *
-     * @return The words.
-     */
+    /** {@return the arguments in the usage line, after the command's name} */
     String arguments();
 
-    /**
-     * Returns what the command does.
-     *
-     * @return A sentence.
-     */
+    /** {@return one sentence for the list of commands and the help} */
     String summary();
 
-    /**
-     * Returns the options.
-     *
-     * @return The options.
-     */
+    /** {@return a new set of the options that the command accepts} */
     Options options();
 
     /**
-     * Runs the command. It throws an exception with its error kind if it fails.
+     * Runs the command. Throws a {@link org.martenwell.error.MartenwellException}, whose kind
+     * determines the exit code, if the command fails.
      *
      * @param line The parsed command line.
-     * @param out Receives the output.
+     * @param out The standard output.
      */
     void run(CommandLine line, PrintStream out);
 }
--- a/src/main/java/org/martenwell/command/CommandTable.java
+++ b/src/main/java/org/martenwell/command/CommandTable.java
@@ -4,7 +4,10 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The commands of the executable. A command's class is loaded once it is named. */
+/**
+ * The commands of the executable. A command's class is loaded only when the command is looked up,
+ * which shortens the start.
+ */
 final class CommandTable {
 
     /** The names of the commands, in the order of the help. */
@@ -13,14 +16,9 @@
                     "router", "gateway", "check", "apply", "show", "status", "drain", "demo",
                     "standin", "load");
 
-    /** Not instantiated. */
     private CommandTable() {}
 
-    /**
-     * Returns all commands.
-     *
-     * @return The commands, in the order of the help.
-     */
+    /** {@return all commands, in the order of the help} */
     static List<NamedCommand> all() {
         return NAMES.stream().map(name -> new NamedCommand(name, command(name))).toList();
     }
@@ -28,8 +26,8 @@
     /**
      * Finds a command.
      *
-     * @param name The name.
-     * @return The command.
+     * @param name The name, in any case.
+     * @return The command, or empty if none has this name.
      */
     static Optional<NamedCommand> find(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
@@ -38,12 +36,6 @@
                 : Optional.empty();
     }
 
-    /**
-     * Returns a command.
-     *
-     * @param name The name, which is known.
-     * @return The command.
-     */
     private static Command command(String name) {
         return switch (name) {
             case "router" -> RouterCommand.INSTANCE;
--- a/src/main/java/org/martenwell/command/DemoCommand.java
+++ b/src/main/java/org/martenwell/command/DemoCommand.java
@@ -12,25 +12,24 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.json.Json;
 
-/** Runs a whole site on loopback under load. */
+/** Runs a complete site on loopback under load and prints what it measured. */
 enum DemoCommand implements Command {
 
     /** The only instance. */
     INSTANCE;
 
-    /** Names how long to measure. */
-    private static final String SECONDS = "seconds";
+    /** The option with the duration of the measurement. */
+    private static final String SECONDS_OPTION = "seconds";
 
-    /** Names how many routers to run. */
-    private static final String ROUTERS = "routers";
+    /** The option with the number of routers. */
+    private static final String ROUTERS_OPTION = "routers";
 
-    /** Names a file for the summary. */
-    private static final String SUMMARY = "summary";
+    /** The option with a file for the summary. */
+    private static final String SUMMARY_OPTION = "summary";
 
-    /** How long to measure unless told, in seconds. */
+    /** The default duration of the measurement, in seconds. */
     private static final int DEFAULT_SECONDS = 20;
 
-    /** How many routers to run unless told. */
     private static final int DEFAULT_ROUTERS = 3;
 
     @Override
@@ -46,31 +45,26 @@
     @Override
     public Options options() {
         return OptionSet.of(
-                OptionSet.optional(SECONDS, "N", "how long to measure (20)"),
-                OptionSet.optional(ROUTERS, "N", "how many routers to run (3)"),
-                OptionSet.optional(SUMMARY, "FILE", "where to write the summary in JSON as well"));
+                OptionSet.optional(SECONDS_OPTION, "N", "how long to measure (20)"),
+                OptionSet.optional(ROUTERS_OPTION, "N", "how many routers to run (3)"),
+                OptionSet.optional(
+                        SUMMARY_OPTION, "FILE", "where to write the summary in JSON as well"));
     }
 
     @Override
     public void run(CommandLine line, PrintStream out) {
-        int seconds = OptionSet.number(line, SECONDS, DEFAULT_SECONDS, 1, 3_600);
-        int routers = OptionSet.number(line, ROUTERS, DEFAULT_ROUTERS, 1, 64);
+        int seconds = OptionSet.number(line, SECONDS_OPTION, DEFAULT_SECONDS, 1, 3_600);
+        int routers = OptionSet.number(line, ROUTERS_OPTION, DEFAULT_ROUTERS, 1, 64);
         DemoSummary summary = new Demo(routers, seconds, out).run();
         String json = Json.print(summary);
-        table(summary, out);
+        printTable(summary, out);
         out.println(json);
-        if (line.hasOption(SUMMARY)) {
-            write(Path.of(line.getOptionValue(SUMMARY)), json);
+        if (line.hasOption(SUMMARY_OPTION)) {
+            writeSummary(Path.of(line.getOptionValue(SUMMARY_OPTION)), json);
         }
     }
 
-    /**
-     * Prints the main numbers.
-     *
-     * @param summary What was measured.
-     * @param out Receives the output.
-     */
-    private static void table(DemoSummary summary, PrintStream out) {
+    private static void printTable(DemoSummary summary, PrintStream out) {
         out.printf("requests                     %12d%n", summary.requests());
         out.printf("answers complete             %12d%n", summary.complete());
         out.printf("answers wrong                %12d%n", summary.wrongAnswers());
@@ -88,18 +82,12 @@
                                 out.printf("backlogged first token %-5s %12d ms%n", name, ms));
     }
 
-    /**
-     * Writes the summary.
-     *
-     * @param file The file.
-     * @param json The summary.
-     */
-    private static void write(Path file, String json) {
+    private static void writeSummary(Path file, String json) {
         try {
             Files.writeString(file, json + "\n");
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INPUT_OUTPUT, file + " can't be written.", exception);
+                    ErrorKind.INPUT_OUTPUT, "Cannot write " + file + ".", exception);
         }
     }
 }
--- a/src/main/java/org/martenwell/command/DrainCommand.java
+++ b/src/main/java/org/martenwell/command/DrainCommand.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.Options;
 import org.martenwell.http.HttpAnswer;
 
-/** Drains a router. */
+/** Drains a router and waits until it has drained. */
 enum DrainCommand implements Command {
 
     /** The only instance. */
@@ -21,7 +21,7 @@
 
     @Override
     public String summary() {
-        return "Lets a router finish what it has and take nothing new, and waits until it has.";
+        return "Drains a router: refuses new requests and waits until the others have finished.";
     }
 
     @Override
@@ -32,9 +32,9 @@
     @Override
     public void run(CommandLine line, PrintStream out) {
         OperatorClient client = new OperatorClient(line.getOptionValue(OptionSet.OPERATOR));
-        HttpAnswer answer =
+        HttpAnswer response =
                 client.change(
                         HttpMethod.POST, "/drain", OptionSet.token(line), List.of(), new byte[0]);
-        out.print(new String(answer.body(), StandardCharsets.UTF_8));
+        out.print(new String(response.body(), StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/org/martenwell/command/GatewayCommand.java
+++ b/src/main/java/org/martenwell/command/GatewayCommand.java
@@ -18,26 +18,24 @@
 import org.martenwell.settings.GatewaySettings;
 import org.martenwell.settings.SettingsReader;
 
-/** Runs a gateway until a signal stops it. */
+/** Runs a gateway until SIGTERM or SIGINT drains it; SIGHUP checks the settings file. */
 enum GatewayCommand implements Command {
 
     /** The only instance. */
     INSTANCE;
 
-    /** The option that names the variable which holds the path of the settings. */
-    private static final String VARIABLE = "settings-variable";
+    /** The option with the name of the environment variable that holds the path of the settings. */
+    private static final String VARIABLE_OPTION = "settings-variable";
 
-    /** The option that ends the gateway after some time. */
-    private static final String RUN_FOR = "run-for";
+    /** The option with the time after which the gateway drains by itself. */
+    private static final String RUN_FOR_OPTION = "run-for";
 
-    /** How many milliseconds a second has. */
-    private static final double SECOND_MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(GatewayCommand.class);
 
     /** The exit code after a drain. */
-    private static final int DRAINED = 0;
+    private static final int EXIT_CODE = 0;
 
     @Override
     public String arguments() {
@@ -61,14 +59,14 @@
                         .get());
         options.addOption(
                 Option.builder()
-                        .longOpt(VARIABLE)
+                        .longOpt(VARIABLE_OPTION)
                         .hasArg()
                         .argName("NAME")
                         .desc("the environment variable that holds the path of the settings")
                         .get());
         options.addOption(
                 Option.builder()
-                        .longOpt(RUN_FOR)
+                        .longOpt(RUN_FOR_OPTION)
                         .hasArg()
                         .argName("SECONDS")
                         .desc("ends after so long, as the build does to archive its classes")
@@ -78,7 +76,7 @@
 
     @Override
     public void run(CommandLine line, PrintStream out) {
-        Path path = path(line);
+        Path path = settingsPath(line);
         GatewaySettings settings = SettingsReader.ofGateway().read(path);
         Eventloop loop = Loops.monotonic();
         loop.keepAlive(true);
@@ -86,7 +84,7 @@
         ProcessSignals.handle("TERM", () -> loop.execute(() -> drain(loop, gateway)));
         ProcessSignals.handle("INT", () -> loop.execute(() -> drain(loop, gateway)));
         ProcessSignals.handle("HUP", () -> loop.execute(() -> reload(path, settings)));
-        if (line.hasOption(RUN_FOR)) {
+        if (line.hasOption(RUN_FOR_OPTION)) {
             loop.delay(runMillis(line), () -> drain(loop, gateway));
         }
         Exception[] failure = new Exception[1];
@@ -103,48 +101,40 @@
             throw known;
         }
         if (failure[0] != null) {
-            throw MartenwellException.of(ErrorKind.INTERNAL, "The start failed.", failure[0]);
+            throw MartenwellException.of(
+                    ErrorKind.INTERNAL, "The gateway failed to start.", failure[0]);
         }
     }
 
-    /**
-     * Finds the settings.
-     *
-     * @param line The command line.
-     * @return The path of the settings.
-     */
-    private static Path path(CommandLine line) {
+    private static Path settingsPath(CommandLine line) {
         if (line.hasOption(OptionSet.SETTINGS)) {
             return Path.of(line.getOptionValue(OptionSet.SETTINGS));
         }
-        return Optional.ofNullable(line.getOptionValue(VARIABLE))
+        return Optional.ofNullable(line.getOptionValue(VARIABLE_OPTION))
                 .map(System::getenv)
                 .map(Path::of)
                 .orElseThrow(
                         () ->
                                 MartenwellException.of(
-                                        ErrorKind.USAGE, "No settings are named, see --help."));
+                                        ErrorKind.USAGE, "No settings file is given, see --help."));
     }
 
-    /**
-     * Reads how long the gateway runs.
-     *
-     * @param line The command line.
-     * @return The time in milliseconds.
-     */
     private static long runMillis(CommandLine line) {
         try {
-            return Math.round(Double.parseDouble(line.getOptionValue(RUN_FOR)) * SECOND_MILLIS);
+            return Math.round(
+                    Double.parseDouble(line.getOptionValue(RUN_FOR_OPTION)) * MILLIS_PER_SECOND);
         } catch (NumberFormatException exception) {
             throw MartenwellException.of(
-                    ErrorKind.USAGE, "--" + RUN_FOR + " takes seconds.", exception);
+                    ErrorKind.USAGE,
+                    "--" + RUN_FOR_OPTION + " requires a number of seconds.",
+                    exception);
         }
     }
 
     /**
-     * Drains the gateway and ends the process.
+     * Drains the gateway and exits. The log is shut down first because a halt skips shutdown hooks.
      *
-     * @param loop The loop.
+     * @param loop The event loop.
      * @param gateway The gateway.
      */
     private static void drain(Eventloop loop, GatewayDaemon gateway) {
@@ -153,23 +143,23 @@
                 .whenComplete(
                         () -> {
                             LogManager.shutdown();
-                            Runtime.getRuntime().halt(DRAINED);
+                            Runtime.getRuntime().halt(EXIT_CODE);
                         });
         loop.keepAlive(true);
     }
 
     /**
-     * Reads the settings again. None of them can change while the gateway runs, so a difference is
-     * only told.
+     * Reads the settings again and logs whether they differ from the active ones. No setting can
+     * change while the gateway runs, so a difference takes effect at the next start.
      *
      * @param path The path of the settings.
-     * @param inForce The settings in force.
+     * @param active The active settings.
      */
-    private static void reload(Path path, GatewaySettings inForce) {
+    private static void reload(Path path, GatewaySettings active) {
         try {
             GatewaySettings read = SettingsReader.ofGateway().read(path);
             LOGGER.info(
-                    LogEvent.of("settings-read").with("changed", !read.equals(inForce)).message());
+                    LogEvent.of("settings-read").with("changed", !read.equals(active)).message());
         } catch (MartenwellException exception) {
             LOGGER.warn(
                     LogEvent.of("settings-refused")
--- a/src/main/java/org/martenwell/command/LoadCommand.java
+++ b/src/main/java/org/martenwell/command/LoadCommand.java
@@ -12,13 +12,13 @@
 import org.martenwell.standin.LoadSettings;
 import org.martenwell.standin.LoadSummary;
 
-/** Sends load to routers and checks the answers of stand-in targets. */
+/** Sends load to routers and checks the responses of stand-in targets. */
 enum LoadCommand implements Command {
 
     /** The only instance. */
     INSTANCE;
 
-    /** The schema of the settings. */
+    /** The resource with the JSON schema of the settings. */
     static final String SCHEMA = "/schema/load.schema.json";
 
     @Override
--- a/src/main/java/org/martenwell/command/Martenwell.java
+++ b/src/main/java/org/martenwell/command/Martenwell.java
@@ -15,32 +15,29 @@
 import org.martenwell.observe.LogConfiguration;
 import org.martenwell.observe.LogTarget;
 
-/** The entry point of the executable. */
+/** The main class of the executable. */
 public final class Martenwell {
 
-    /** The exit code of success. */
     private static final int SUCCESS = 0;
 
-    /** The commands of processes that serve until they are stopped. */
-    private static final Set<String> SERVING = Set.of("router", "gateway", "standin");
+    /** The commands that run a server until it is stopped. */
+    private static final Set<String> SERVER_COMMANDS = Set.of("router", "gateway", "standin");
 
-    /** The command that shows a summary, among which lines about requests would be lost. */
-    private static final String DEMO = "demo";
+    /** The command that logs only warnings, because log lines would hide its summary. */
+    private static final String DEMO_COMMAND = "demo";
 
-    /** Asks for help. */
+    /** The option that prints the help. */
     private static final String HELP = "help";
 
-    /** Receives output. */
     private final PrintStream out;
 
-    /** Receives errors. */
     private final PrintStream errors;
 
     /**
-     * Creates an entry point.
+     * Creates an instance that prints to the given streams.
      *
-     * @param out Receives output.
-     * @param errors Receives errors.
+     * @param out The stream for results.
+     * @param errors The stream for error messages.
      */
     Martenwell(PrintStream out, PrintStream errors) {
         this.out = out;
@@ -48,9 +45,9 @@
     }
 
     /**
-     * Runs one command and exits with its code.
+     * Runs one command and exits with its exit code.
      *
-     * @param arguments The command line.
+     * @param arguments The command line: the name of a command and its arguments.
      */
     public static void main(String[] arguments) {
         String command = arguments.length > 0 ? arguments[0] : HELP;
@@ -59,31 +56,25 @@
     }
 
     /**
-     * Returns where a command logs: processes that serve to standard output, commands that print
-     * results there to standard error.
+     * Returns the stream to which a command logs. Servers log to standard output, other commands to
+     * standard error because they print their results to standard output.
      *
-     * @param command The command's name.
-     * @return Where its lines go.
+     * @param command The command's name, known or not.
+     * @return The stream for log lines.
      */
     static LogTarget logTarget(String command) {
-        return SERVING.contains(command) ? LogTarget.SYSTEM_OUT : LogTarget.SYSTEM_ERR;
+        return SERVER_COMMANDS.contains(command) ? LogTarget.SYSTEM_OUT : LogTarget.SYSTEM_ERR;
     }
 
-    /**
-     * Returns how much a command logs.
-     *
-     * @param command The command's name.
-     * @return The level.
-     */
     private static Level logLevel(String command) {
-        return command.equals(DEMO) ? Level.WARN : Level.INFO;
+        return command.equals(DEMO_COMMAND) ? Level.WARN : Level.INFO;
     }
 
     /**
-     * Runs one command.
+     * Runs one command and prints its error if it fails.
      *
      * @param arguments The command line.
-     * @return The exit code.
+     * @return The exit code: 0 or one of {@code sysexits.h}.
      */
     int run(String... arguments) {
         try {
@@ -94,7 +85,7 @@
             Optional<NamedCommand> command = CommandTable.find(arguments[0]);
             if (command.isEmpty()) {
                 throw MartenwellException.of(
-                        ErrorKind.USAGE, "No command is named " + arguments[0] + ", see --help.");
+                        ErrorKind.USAGE, "Unknown command " + arguments[0] + ", see --help.");
             }
             run(command.get(), Arrays.copyOfRange(arguments, 1, arguments.length));
             return SUCCESS;
@@ -104,12 +95,6 @@
         }
     }
 
-    /**
-     * Runs one command.
-     *
-     * @param command The command.
-     * @param arguments What follows its name.
-     */
     private void run(NamedCommand command, String... arguments) {
         Options options = command.command().options();
         options.addOption(Option.builder().longOpt(HELP).desc("shows this help").get());
@@ -125,7 +110,6 @@
         }
     }
 
-    /** Prints what commands there are. */
     private void printCommands() {
         out.println("martenwell COMMAND ..., each with --help:");
         for (NamedCommand command : CommandTable.all()) {
@@ -134,12 +118,6 @@
         out.println("Exit codes are 0 or those of sysexits.h, see docs/operators/errors.md.");
     }
 
-    /**
-     * Prints a command's help.
-     *
-     * @param command The command.
-     * @param options Its options.
-     */
     private void printHelp(NamedCommand command, Options options) {
         out.println(command.command().summary());
         out.println("martenwell " + command.name() + " " + command.command().arguments());
--- a/src/main/java/org/martenwell/command/OperatorClient.java
+++ b/src/main/java/org/martenwell/command/OperatorClient.java
@@ -14,46 +14,45 @@
 import org.martenwell.json.Json;
 import org.martenwell.service.LoopThread;
 
-/** Calls a router's operators' port. */
+/** A blocking client of a router's HTTP interface for operators. */
 final class OperatorClient {
 
-    /** The largest answer, in bytes. */
+    /** The largest accepted response body, in bytes. */
     private static final int MAX_BODY_BYTES = 8 << 20;
 
-    /** How long a call may take, in milliseconds; a drain takes the longest. */
+    /** The timeout of a call, in milliseconds, long enough for a drain. */
     private static final long TIMEOUT_MILLIS = 600_000;
 
-    /** The router's address for operators. */
     private final String address;
 
     /**
      * Creates a client.
      *
-     * @param address The router's address for operators.
+     * @param address The IP address and port of the router's interface for operators.
      */
     OperatorClient(String address) {
         this.address = address;
     }
 
     /**
-     * Reads something.
+     * Sends a GET request without a token. Throws an exception if it fails.
      *
      * @param path The path.
-     * @return The answer, which is a success.
+     * @return The response, with a status below 300.
      */
     HttpAnswer get(String path) {
         return call(HttpMethod.GET, path, List.of(), new byte[0]);
     }
 
     /**
-     * Changes something.
+     * Sends a request that changes the router. Throws an exception if it fails.
      *
      * @param method The method.
      * @param path The path.
      * @param token The operators' token.
-     * @param headers More header fields.
+     * @param headers Additional header fields.
      * @param body The body.
-     * @return The answer, which is a success.
+     * @return The response, with a status below 300.
      */
     HttpAnswer change(
             HttpMethod method, String path, String token, List<HeaderField> headers, byte[] body) {
@@ -62,20 +61,11 @@
         return call(method, path, all, body);
     }
 
-    /**
-     * Makes a call.
-     *
-     * @param method The method.
-     * @param path The path.
-     * @param headers The header fields.
-     * @param body The body.
-     * @return The answer, which is a success.
-     */
     private HttpAnswer call(
             HttpMethod method, String path, List<HeaderField> headers, byte[] body) {
         LoopThread loop = LoopThread.start("operator-client");
         try {
-            HttpAnswer answer =
+            HttpAnswer response =
                     loop.call(
                             () ->
                                     HttpCalls.pooled(loop.loop(), MAX_BODY_BYTES)
@@ -85,25 +75,25 @@
                                                     headers,
                                                     body,
                                                     TIMEOUT_MILLIS));
-            if (answer.status() >= 300) {
-                throw failure(answer);
+            if (response.status() >= 300) {
+                throw toException(response);
             }
-            return answer;
+            return response;
         } finally {
             loop.stop();
         }
     }
 
     /**
-     * Reads the error of an answer.
+     * Converts an error response to an exception of the same kind.
      *
-     * @param answer The answer.
-     * @return The exception with its kind.
+     * @param response The response.
+     * @return The exception.
      */
-    private static MartenwellException failure(HttpAnswer answer) {
-        String text = new String(answer.body(), StandardCharsets.UTF_8);
+    private static MartenwellException toException(HttpAnswer response) {
+        String text = new String(response.body(), StandardCharsets.UTF_8);
         try {
-            JsonNode error = Json.read(answer.body()).path("error");
+            JsonNode error = Json.read(response.body()).path("error");
             ErrorKind kind =
                     Arrays.stream(ErrorKind.values())
                             .filter(each -> each.code().equals(error.path("code").asText()))
@@ -112,7 +102,8 @@
             return MartenwellException.of(kind, error.path("message").asText());
         } catch (MartenwellException notJson) {
             return MartenwellException.of(
-                    ErrorKind.INTERNAL, "The router answered " + answer.status() + ": " + text);
+                    ErrorKind.INTERNAL,
+                    "The router responded with status " + response.status() + ": " + text);
         }
     }
 }
--- a/src/main/java/org/martenwell/command/OptionSet.java
+++ b/src/main/java/org/martenwell/command/OptionSet.java
@@ -9,48 +9,35 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.settings.SettingsReader;
 
-/** Options that several commands share, and how they are read. */
+/** Options that several commands share, and methods that read their values. */
 final class OptionSet {
 
-    /** Names a settings file. */
+    /** The option with the path of a settings file. */
     static final String SETTINGS = "settings";
 
-    /** Names a router's address for operators. */
+    /** The option with the address of a router's interface for operators. */
     static final String OPERATOR = "operator";
 
-    /** Names a file with the operators' token. */
+    /** The option with the path of a file that holds the operators' token. */
     static final String TOKEN_FILE = "token-file";
 
-    /** The environment variable that holds the operators' token. */
+    /** The environment variable that holds the operators' token if no file is given. */
     static final String TOKEN_VARIABLE = "MARTENWELL_TOKEN";
 
-    /** Not instantiated. */
     private OptionSet() {}
 
-    /**
-     * Creates the option that names a settings file.
-     *
-     * @return The option.
-     */
+    /** {@return the required option {@link #SETTINGS}} */
     static Option settings() {
         return required(SETTINGS, "FILE", "the settings, JSON with comments");
     }
 
-    /**
-     * Creates the option that names a router's address for operators.
-     *
-     * @return The option.
-     */
+    /** {@return the required option {@link #OPERATOR}} */
     static Option operator() {
         return required(
                 OPERATOR, "ADDRESS", "a router's address for operators, IP number and port");
     }
 
-    /**
-     * Creates the option that names a file with the operators' token.
-     *
-     * @return The option.
-     */
+    /** {@return the optional option {@link #TOKEN_FILE}} */
     static Option tokenFile() {
         return optional(
                 TOKEN_FILE,
@@ -59,45 +46,51 @@
     }
 
     /**
-     * Creates an option that has to be given.
+     * Creates a required option with a value.
      *
-     * @param name The name.
-     * @param value The name of its value.
-     * @param text What it means.
+     * @param name The long name, without hyphens.
+     * @param value The placeholder of the value in the help.
+     * @param description The description in the help.
      * @return The option.
      */
-    static Option required(String name, String value, String text) {
-        return Option.builder().longOpt(name).hasArg().argName(value).desc(text).required().get();
+    static Option required(String name, String value, String description) {
+        return Option.builder()
+                .longOpt(name)
+                .hasArg()
+                .argName(value)
+                .desc(description)
+                .required()
+                .get();
     }
 
     /**
-     * Creates an option that may be given.
+     * Creates an optional option with a value.
      *
-     * @param name The name.
-     * @param value The name of its value.
-     * @param text What it means.
+     * @param name The long name, without hyphens.
+     * @param value The placeholder of the value in the help.
+     * @param description The description in the help.
      * @return The option.
      */
-    static Option optional(String name, String value, String text) {
-        return Option.builder().longOpt(name).hasArg().argName(value).desc(text).get();
+    static Option optional(String name, String value, String description) {
+        return Option.builder().longOpt(name).hasArg().argName(value).desc(description).get();
     }
 
     /**
      * Creates an option without a value.
      *
-     * @param name The name.
-     * @param text What it means.
+     * @param name The long name, without hyphens.
+     * @param description The description in the help.
      * @return The option.
      */
-    static Option flag(String name, String text) {
-        return Option.builder().longOpt(name).desc(text).get();
+    static Option flag(String name, String description) {
+        return Option.builder().longOpt(name).desc(description).get();
     }
 
     /**
-     * Creates a set of options.
+     * Collects options.
      *
      * @param options The options.
-     * @return The set.
+     * @return A new set of them.
      */
     static Options of(Option... options) {
         Options set = new Options();
@@ -108,33 +101,34 @@
     }
 
     /**
-     * Reads a whole number.
+     * Reads an integer. Throws an exception if it is malformed or out of range.
      *
      * @param line The parsed command line.
      * @param name The option's name.
-     * @param otherwise The number if the option is absent.
-     * @param least The least allowed.
-     * @param most The most allowed.
+     * @param defaultValue The result if the option is absent.
+     * @param min The least allowed value.
+     * @param max The greatest allowed value.
      * @return The number.
      */
-    static int number(CommandLine line, String name, int otherwise, int least, int most) {
+    static int number(CommandLine line, String name, int defaultValue, int min, int max) {
         if (!line.hasOption(name)) {
-            return otherwise;
+            return defaultValue;
         }
         String text = line.getOptionValue(name);
         if (text.matches("[0-9]{1,9}")) {
             int value = Integer.parseInt(text);
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         }
         throw MartenwellException.of(
                 ErrorKind.USAGE,
-                "--" + name + " takes a whole number from " + least + " to " + most + ".");
+                "--" + name + " requires an integer from " + min + " to " + max + ".");
     }
 
     /**
-     * Reads the operators' token.
+     * Reads the operators' token from the file of {@link #TOKEN_FILE} or else from {@link
+     * #TOKEN_VARIABLE}. Throws an exception if neither is given.
      *
      * @param line The parsed command line.
      * @return The token.
@@ -148,18 +142,20 @@
                         () ->
                                 MartenwellException.of(
                                         ErrorKind.USAGE,
-                                        "Give --token-file or set " + TOKEN_VARIABLE + "."));
+                                        "No operators' token: give --token-file or set "
+                                                + TOKEN_VARIABLE
+                                                + "."));
     }
 
     /**
-     * Reads the one file that a command takes.
+     * Reads the only positional argument. Throws an exception unless there is exactly one.
      *
      * @param line The parsed command line.
      * @return The file.
      */
     static Path file(CommandLine line) {
         if (line.getArgList().size() != 1) {
-            throw MartenwellException.of(ErrorKind.USAGE, "One file is needed.");
+            throw MartenwellException.of(ErrorKind.USAGE, "Exactly one file is required.");
         }
         return Path.of(line.getArgList().get(0));
     }
--- a/src/main/java/org/martenwell/command/ProcessLoop.java
+++ b/src/main/java/org/martenwell/command/ProcessLoop.java
@@ -10,35 +10,23 @@
 import org.martenwell.router.DrainReport;
 import org.martenwell.service.ManagedService;
 
-/** Runs a service in this thread's loop until SIGTERM or SIGINT drains it. */
+/** Runs a service on an event loop in the current thread until a signal drains it. */
 final class ProcessLoop {
 
-    /** The exit code after a drain, whether or not anything was cut off. */
-    private static final int DRAINED = 0;
+    /** The exit code after a drain, even if requests remained at its deadline. */
+    private static final int EXIT_CODE = 0;
 
-    /** The loop. */
     private final Eventloop loop;
 
-    /** The service. */
     private final ManagedService service;
 
-    /** Drains the service. */
     private final Supplier<Promise<DrainReport>> drain;
 
-    /** Receives messages. */
     private final PrintStream out;
 
-    /** Why the service did not start or {@code null}. */
+    /** The exception that prevented the start, or {@code null}. */
     private Exception failure;
 
-    /**
-     * Creates a loop that does not run yet.
-     *
-     * @param loop The loop.
-     * @param service The service.
-     * @param drain Drains the service.
-     * @param out Receives messages.
-     */
     private ProcessLoop(
             Eventloop loop,
             ManagedService service,
@@ -51,12 +39,13 @@
     }
 
     /**
-     * Runs a service until a signal stops it.
+     * Runs a service until SIGTERM or SIGINT drains it. Doesn't return then, as the process exits;
+     * throws an exception if the service fails to start.
      *
-     * @param loop The loop of this thread.
+     * @param loop The event loop of the current thread.
      * @param service The service.
-     * @param drain Drains the service.
-     * @param out Receives messages.
+     * @param drain Drains the service; called on the event loop.
+     * @param out The stream for messages about the drain.
      */
     static void run(
             Eventloop loop,
@@ -66,7 +55,6 @@
         new ProcessLoop(loop, service, drain, out).run();
     }
 
-    /** Runs the service. */
     private void run() {
         loop.keepAlive(true);
         loop.post(
@@ -83,16 +71,16 @@
             throw known;
         }
         if (failure != null) {
-            throw MartenwellException.of(ErrorKind.INTERNAL, "The start failed.", failure);
+            throw MartenwellException.of(
+                    ErrorKind.INTERNAL, "The service failed to start.", failure);
         }
     }
 
-    /** Drains the service when the virtual machine is told to end. */
+    /** Registers a shutdown hook, which the virtual machine runs on SIGTERM and SIGINT. */
     private void drainOnSignal() {
         Runtime.getRuntime().addShutdownHook(new Thread(this::drainAndExit, "drain"));
     }
 
-    /** Drains the service and ends the process. */
     private void drainAndExit() {
         try {
             DrainReport report =
@@ -108,7 +96,7 @@
             out.println("drain failed: " + exception.getCause());
         }
         out.flush();
-        // The virtual machine would otherwise exit with the signal's number.
-        Runtime.getRuntime().halt(DRAINED);
+        // Without a halt, the exit code would be derived from the signal.
+        Runtime.getRuntime().halt(EXIT_CODE);
     }
 }
--- a/src/main/java/org/martenwell/command/ProcessSignals.java
+++ b/src/main/java/org/martenwell/command/ProcessSignals.java
@@ -7,22 +7,20 @@
 import org.martenwell.observe.LogEvent;
 
 /**
- * Handles signals of the operating system. The class of the virtual machine for that is called by
- * reflection, because the compiler warns of it and this build takes warnings for errors.
+ * Handles signals of the operating system. It calls {@code sun.misc.Signal} by reflection, because
+ * the compiler warns about direct uses and the build treats warnings as errors.
  */
 final class ProcessSignals {
 
-    /** The log. */
     private static final Logger LOGGER = LogManager.getLogger(ProcessSignals.class);
 
-    /** Not instantiated. */
     private ProcessSignals() {}
 
     /**
-     * Handles a signal.
+     * Registers a handler of a signal. Logs a warning if the virtual machine doesn't allow it.
      *
      * @param name The signal's name without {@code SIG}.
-     * @param handler Called in a thread of its own.
+     * @param handler The handler, called in a separate thread.
      */
     static void handle(String name, Runnable handler) {
         try {
--- a/src/main/java/org/martenwell/command/RouterCommand.java
+++ b/src/main/java/org/martenwell/command/RouterCommand.java
@@ -12,7 +12,7 @@
 import org.martenwell.settings.RouterSettings;
 import org.martenwell.settings.SettingsReader;
 
-/** Runs a router until a signal stops it. */
+/** Runs a router until SIGTERM or SIGINT drains it. */
 enum RouterCommand implements Command {
 
     /** The only instance. */
--- a/src/main/java/org/martenwell/command/ShowCommand.java
+++ b/src/main/java/org/martenwell/command/ShowCommand.java
@@ -10,7 +10,7 @@
 import org.martenwell.http.HttpAnswer;
 import org.martenwell.operator.OperatorServlet;
 
-/** Shows the configuration in force at a router. */
+/** Prints the active configuration of a router. */
 enum ShowCommand implements Command {
 
     /** The only instance. */
@@ -23,7 +23,7 @@
 
     @Override
     public String summary() {
-        return "Shows the fleet configuration in force at a router, its version first.";
+        return "Shows a router's active fleet configuration and its version.";
     }
 
     @Override
@@ -34,17 +34,17 @@
     @Override
     public void run(CommandLine line, PrintStream out) {
         OperatorClient client = new OperatorClient(line.getOptionValue(OptionSet.OPERATOR));
-        HttpAnswer answer = client.get("/configuration");
-        out.println("// version " + versionOf(answer));
-        out.print(new String(answer.body(), StandardCharsets.UTF_8));
+        HttpAnswer response = client.get("/configuration");
+        out.println("// version " + versionOf(response));
+        out.print(new String(response.body(), StandardCharsets.UTF_8));
         out.println();
     }
 
     /**
-     * Asks for the version in force.
+     * Reads the active version of a router.
      *
-     * @param client Calls the router.
-     * @return The version, 0 if there is none.
+     * @param client The client of the router.
+     * @return The version, 0 if no configuration is active.
      */
     static String version(OperatorClient client) {
         try {
@@ -57,13 +57,7 @@
         }
     }
 
-    /**
-     * Reads the version of an answer.
-     *
-     * @param answer The answer.
-     * @return The version.
-     */
-    private static String versionOf(HttpAnswer answer) {
-        return HeaderFields.find(answer.headers(), OperatorServlet.VERSION).orElse("0");
+    private static String versionOf(HttpAnswer response) {
+        return HeaderFields.find(response.headers(), OperatorServlet.VERSION).orElse("0");
     }
 }
--- a/src/main/java/org/martenwell/command/StandinCommand.java
+++ b/src/main/java/org/martenwell/command/StandinCommand.java
@@ -17,16 +17,16 @@
 import org.martenwell.standin.StandinTarget;
 import org.martenwell.standin.TargetSettings;
 
-/** Runs a stand-in for the platform or for a target. */
+/** Runs a stand-in for the platform or a target. */
 enum StandinCommand implements Command {
 
     /** The only instance. */
     INSTANCE;
 
-    /** The schema of a stand-in platform's settings. */
+    /** The resource with the JSON schema of a stand-in platform's settings. */
     static final String PLATFORM_SCHEMA = "/schema/standin-platform.schema.json";
 
-    /** The schema of a stand-in target's settings. */
+    /** The resource with the JSON schema of a stand-in target's settings. */
     static final String TARGET_SCHEMA = "/schema/standin-target.schema.json";
 
     @Override
@@ -36,7 +36,7 @@
 
     @Override
     public String summary() {
-        return "Runs a stand-in for the platform or for a target, for trials and tests.";
+        return "Runs a stand-in for the platform or a target, for experiments and tests.";
     }
 
     @Override
@@ -63,7 +63,8 @@
                                             .read(path));
                     default ->
                             throw MartenwellException.of(
-                                    ErrorKind.USAGE, "Say platform or target.");
+                                    ErrorKind.USAGE,
+                                    "The first argument must be platform or target.");
                 };
         ProcessLoop.run(loop, standin, () -> Promise.of(new DrainReport(0, 0)), out);
     }
--- a/src/main/java/org/martenwell/command/StatusCommand.java
+++ b/src/main/java/org/martenwell/command/StatusCommand.java
@@ -5,7 +5,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** Shows what a router knows and does. */
+/** Prints the status of a router. */
 enum StatusCommand implements Command {
 
     /** The only instance. */
@@ -18,7 +18,7 @@
 
     @Override
     public String summary() {
-        return "Shows a router's readiness, members, kept targets, load and service counts.";
+        return "Shows a router's readiness, members, coordinated targets, load and service counters.";
     }
 
     @Override
--- a/src/main/java/org/martenwell/command/package-info.java
+++ b/src/main/java/org/martenwell/command/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. */
+/** The command line interface. */
 package org.martenwell.command;
--- a/src/test/java/org/martenwell/command/MartenwellTest.java
+++ b/src/test/java/org/martenwell/command/MartenwellTest.java
@@ -49,13 +49,13 @@
     }
 
     @Test
-    void testFileThatIsMissingIsAnInputError() {
+    void testMissingFileIsAnInputError() {
         assertThat(run("check", "examples/none.json")).isEqualTo(74);
         assertThat(text(errors)).startsWith("martenwell: input_output: ");
     }
 
     @Test
-    void testCheckNamesTheKindOfEachFile() {
+    void testCheckPrintsTheTypeOfEachFile() {
         assertThat(run("check", "examples/router-0.json", "examples/food-aid.fleet.json")).isZero();
         assertThat(text(out)).contains("settings of a router").contains("fleet configuration");
     }
@@ -67,13 +67,13 @@
     }
 
     @Test
-    void testRouterThatDoesNotAnswerIsAnInputError() {
+    void testUnreachableRouterIsAnInputError() {
         assertThat(run("status", "--operator", "127.0.0.1:1")).isEqualTo(74);
     }
 
     @ParameterizedTest
     @CsvSource({"gateway,SYSTEM_OUT", "router,SYSTEM_OUT", "show,SYSTEM_ERR", "demo,SYSTEM_ERR"})
-    void testProcessesThatServeLogToStandardOutput(String command, String target) {
+    void testServersLogToStandardOutput(String command, String target) {
         assertThat(Martenwell.logTarget(command)).hasToString(target);
     }
 
