--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -42,8 +42,8 @@
 import org.martenwell.objects.Platform;
 import org.martenwell.observe.LogEvent;
 import org.martenwell.once.ClaimLedger;
-import org.martenwell.operator.OperatedRouter;
 import org.martenwell.operator.OperatorServlet;
+import org.martenwell.operator.RouterControl;
 import org.martenwell.peer.ConfigurationAnswer;
 import org.martenwell.peer.ConfigurationRequest;
 import org.martenwell.peer.PeerListener;
@@ -78,7 +78,7 @@
 
 /** A router process. All parts run on one event loop, so they need no locks. */
 public final class RouterDaemon
-        implements ManagedService, PeerListener, MessageSender, OperatedRouter {
+        implements ManagedService, PeerListener, MessageSender, RouterControl {
 
     private static final Logger LOGGER = LogManager.getLogger(RouterDaemon.class);
 
--- a/src/main/java/org/martenwell/operator/OperatorServlet.java
+++ b/src/main/java/org/martenwell/operator/OperatorServlet.java
@@ -28,7 +28,7 @@
 
     private static final String BEARER_PREFIX = "Bearer ";
 
-    private final OperatedRouter router;
+    private final RouterControl router;
 
     private final ConfigurationApplier applier;
 
@@ -42,7 +42,7 @@
      * @param settings The settings, which hold the operators' token.
      */
     public OperatorServlet(
-            OperatedRouter router, ConfigurationApplier applier, RouterSettings settings) {
+            RouterControl router, ConfigurationApplier applier, RouterSettings settings) {
         this.router = router;
         this.applier = applier;
         this.settings = settings;
--- a/src/main/java/org/martenwell/operator/OperatedRouter.java
+++ b/src/main/java/org/martenwell/operator/RouterControl.java
@@ -8,7 +8,7 @@
 import org.martenwell.router.RouterStatus;
 
 /** The operations of a router that its operator port offers. */
-public interface OperatedRouter {
+public interface RouterControl {
 
     /**
      * Checks whether the load balancer should send requests to this router.
