--- a/src/test/java/org/martenwell/daemon/OnceTest.java
+++ b/src/test/java/org/martenwell/daemon/IdempotencyTest.java
@@ -18,7 +18,7 @@
 import org.martenwell.standin.PlatformFaults;
 
 /** Sends requests with idempotency keys to several routers. Each key must run at most once. */
-class OnceTest {
+class IdempotencyTest {
 
     private static DemoFleet fleet;
     private static List<String> routers;
