--- a/src/main/java/org/martenwell/command/DemoCommand.java
+++ b/src/main/java/org/martenwell/command/DemoCommand.java
@@ -87,7 +87,7 @@
             Files.writeString(file, json + "\n");
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INPUT_OUTPUT, "Cannot write " + file + ".", exception);
+                    ErrorKind.INPUT_OUTPUT, file + " cannot be written.", exception);
         }
     }
 }
--- a/src/main/java/org/martenwell/configuration/ReferenceChecker.java
+++ b/src/main/java/org/martenwell/configuration/ReferenceChecker.java
@@ -72,7 +72,7 @@
             if (!names.add(value)) {
                 report(
                         "/" + list + "/" + index + "/name",
-                        "duplicate name " + value,
+                        "the name " + value + " is not unique",
                         "a name that no other item has");
             }
         }
--- a/src/main/java/org/martenwell/settings/SettingsReader.java
+++ b/src/main/java/org/martenwell/settings/SettingsReader.java
@@ -117,7 +117,7 @@
             return Files.readString(path);
         } catch (IOException exception) {
             throw MartenwellException.of(
-                    ErrorKind.INPUT_OUTPUT, "Cannot read " + path + ".", exception);
+                    ErrorKind.INPUT_OUTPUT, path + " is not readable.", exception);
         }
     }
 
