--- a/src/main/java/org/martenwell/caller/CallerResponses.java
+++ b/src/main/java/org/martenwell/caller/CallerResponses.java
@@ -19,18 +19,18 @@
     /**
      * Builds the response to a request that a target has answered.
      *
-     * @param answer The target's response.
+     * @param response The target's response.
      * @param id The request's id.
      * @return The response, which streams the target's body.
      */
-    static HttpResponse of(RoutedAnswer answer, String id) {
-        HttpResponse.Builder builder = HttpResponse.ofCode(answer.status());
-        for (HeaderField field : answer.headers()) {
+    static HttpResponse of(RoutedAnswer response, String id) {
+        HttpResponse.Builder builder = HttpResponse.ofCode(response.status());
+        for (HeaderField field : response.headers()) {
             builder.withHeader(HttpHeaders.of(field.name()), field.value());
         }
         return builder.withHeader(HttpHeaders.of(HeaderFields.REQUEST_ID), id)
-                .withHeader(HttpHeaders.of(HeaderFields.OUTCOME), answer.outcome().word())
-                .withBodyStream(answer.body())
+                .withHeader(HttpHeaders.of(HeaderFields.OUTCOME), response.outcome().word())
+                .withBodyStream(response.body())
                 .build();
     }
 
--- a/src/main/java/org/martenwell/caller/CallerServlet.java
+++ b/src/main/java/org/martenwell/caller/CallerServlet.java
@@ -63,12 +63,12 @@
     private Promise<HttpResponse> route(HttpRequest request, String id) {
         String path = request.getPath();
         if (path.startsWith(SERVICES_PREFIX)) {
-            return services.serve(request, id).map(answer -> targetResponse(answer, id));
+            return services.serve(request, id).map(routed -> targetResponse(routed, id));
         }
         return switch (path) {
             case "/v1/chat/completions", "/v1/completions" -> {
                 requireMethod(request, HttpMethod.POST);
-                yield models.serve(request, id).map(answer -> targetResponse(answer, id));
+                yield models.serve(request, id).map(routed -> targetResponse(routed, id));
             }
             case "/v1/models" -> {
                 requireMethod(request, HttpMethod.GET);
@@ -87,9 +87,9 @@
         }
     }
 
-    private HttpResponse targetResponse(RoutedAnswer answer, String id) {
+    private HttpResponse targetResponse(RoutedAnswer response, String id) {
         metrics.answered();
-        return CallerResponses.of(answer, id);
+        return CallerResponses.of(response, id);
     }
 
     private Promise<HttpResponse> errorResponse(Exception exception, String id) {
--- a/src/main/java/org/martenwell/command/LoadCommand.java
+++ b/src/main/java/org/martenwell/command/LoadCommand.java
@@ -28,7 +28,7 @@
 
     @Override
     public String summary() {
-        return "Sends load to routers on loopback and checks the answers of stand-in targets.";
+        return "Sends load to routers on loopback and checks the responses of stand-in targets.";
     }
 
     @Override
