--- a/src/main/java/org/martenwell/admission/AdmissionControl.java
+++ b/src/main/java/org/martenwell/admission/AdmissionControl.java
@@ -35,7 +35,7 @@
     private long waitingBytes;
 
     /**
-     * Creates a control with empty queues.
+     * Creates an admission control with empty queues.
      *
      * @param maxWaiting The most requests in all queues of this router.
      * @param maxWaitingBytes The most memory held by queued requests, in bytes.
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Takes a request from the rate of an organisation. Throws an exception of the kind {@link
-     * ErrorKind#RATE_EXCEEDED} if the rate is exceeded.
+     * Counts a request against the rate limit of an organisation. Throws an exception of the kind
+     * {@link ErrorKind#RATE_EXCEEDED} if the rate is exceeded.
      *
      * @param organisation The organisation.
      * @param contract Its contract.
--- a/src/main/java/org/martenwell/admission/FleetRetryBudget.java
+++ b/src/main/java/org/martenwell/admission/FleetRetryBudget.java
@@ -10,7 +10,7 @@
  */
 public final class FleetRetryBudget {
 
-    /** The part of the budget that is used, a margin for the differing windows of gateways. */
+    /** The fraction of the budget that is used, since the windows of gateways are not aligned. */
     private static final double UTILISATION = 0.7;
 
     /** The retries allowed per request. */
--- a/src/main/java/org/martenwell/configuration/PolicyChecker.java
+++ b/src/main/java/org/martenwell/configuration/PolicyChecker.java
@@ -6,7 +6,7 @@
 import org.martenwell.json.Problem;
 import org.martenwell.policy.PolicyCompiler;
 
-/** Checks that every policy of a configuration compiles within its cost limit. */
+/** Checks that every policy of a configuration compiles within the size limits. */
 public enum PolicyChecker {
 
     /** The only instance. */
--- a/src/main/java/org/martenwell/configuration/Pool.java
+++ b/src/main/java/org/martenwell/configuration/Pool.java
@@ -3,7 +3,7 @@
 /**
  * The set of targets that serve one model or one plain service.
  *
- * @param kind The kind of work that the pool serves.
+ * @param kind The kind of requests that the pool serves.
  * @param name The name of the model or plain service.
  */
 public record Pool(PoolKind kind, String name) {
--- a/src/main/java/org/martenwell/configuration/ReferenceChecker.java
+++ b/src/main/java/org/martenwell/configuration/ReferenceChecker.java
@@ -44,12 +44,13 @@
      * @return All problems found, empty if there are none.
      */
     List<Problem> problems() {
-        Set<String> models = names("models", configuration.models(), Model::name);
-        Set<String> services = names("services", configuration.services(), Service::name);
-        Set<String> contracts = names("contracts", configuration.contracts(), Contract::name);
-        Set<String> policies = names("policies", configuration.policies(), Policy::name);
-        names("organisations", configuration.organisations(), Organisation::name);
-        names("targets", configuration.targets(), Target::name);
+        Set<String> models = collectNames("models", configuration.models(), Model::name);
+        Set<String> services = collectNames("services", configuration.services(), Service::name);
+        Set<String> contracts =
+                collectNames("contracts", configuration.contracts(), Contract::name);
+        Set<String> policies = collectNames("policies", configuration.policies(), Policy::name);
+        collectNames("organisations", configuration.organisations(), Organisation::name);
+        collectNames("targets", configuration.targets(), Target::name);
         checkContracts(policies);
         checkOrganisations(contracts);
         checkTargets(models, services);
@@ -65,7 +66,7 @@
      * @param <T> The type of the items.
      * @return The names.
      */
-    private <T> Set<String> names(String list, List<T> items, Function<T, String> name) {
+    private <T> Set<String> collectNames(String list, List<T> items, Function<T, String> name) {
         Set<String> names = new HashSet<>();
         for (int index = 0; index < items.size(); index++) {
             String value = name.apply(items.get(index));
@@ -141,9 +142,9 @@
     /**
      * Adds a problem.
      *
-     * @param pointer The JSON pointer of the faulty value.
-     * @param fault The fault.
-     * @param allowed The values that are allowed there.
+     * @param pointer The JSON pointer to the invalid value.
+     * @param fault The description of the error.
+     * @param allowed The description of the values allowed there.
      */
     private void report(String pointer, String fault, String allowed) {
         problems.add(new Problem(file, pointer, fault, allowed));
--- a/src/main/java/org/martenwell/configuration/Repeatability.java
+++ b/src/main/java/org/martenwell/configuration/Repeatability.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Set;
 
-/** The rule by which requests to a plain service may run more than once, as a retry does. */
+/** Rule that decides whether a request to a plain service may run more than once, as in a retry. */
 public enum Repeatability {
 
     /** Every request may run again. */
--- a/src/main/java/org/martenwell/configuration/Target.java
+++ b/src/main/java/org/martenwell/configuration/Target.java
@@ -12,7 +12,8 @@
  * @param kind The kind of requests that it serves.
  * @param serves The names of the models or plain services that it serves.
  * @param slots The number of requests that it runs at once.
- * @param checksFences {@code true} if it rejects orders with an outdated fencing token.
+ * @param checksFences {@code true} if it rejects orders to load or unload a model that have an
+ *     outdated fencing token.
  */
 public record Target(
         String name,
--- a/src/main/java/org/martenwell/error/ErrorKind.java
+++ b/src/main/java/org/martenwell/error/ErrorKind.java
@@ -45,16 +45,16 @@
     /** The organisation exceeds the request rate of its contract. */
     RATE_EXCEEDED(429, Outcome.NOT_RUN, Retryability.LATER, 75),
 
-    /** The request was not dispatched within its maximum wait time. */
+    /** The request waited, or would have to wait, too long for a target. */
     WAIT_TOO_LONG(503, Outcome.NOT_RUN, Retryability.LATER, 75),
 
-    /** The router has reached its limit of concurrent requests. */
+    /** The router or gateway is overloaded, for example by queued requests or a full heap. */
     ROUTER_FULL(503, Outcome.NOT_RUN, Retryability.LATER, 75),
 
-    /** The router has no configuration yet or has been disconnected for too long. */
+    /** The router or gateway has no configuration yet or has been disconnected for too long. */
     NOT_READY(503, Outcome.NOT_RUN, Retryability.LATER, 75),
 
-    /** The router is shutting down and accepts no new requests. */
+    /** The router or gateway is shutting down and accepts no new requests. */
     DRAINING(503, Outcome.NOT_RUN, Retryability.LATER, 75),
 
     /** No available target serves the model or plain service. */
--- a/src/main/java/org/martenwell/error/Outcome.java
+++ b/src/main/java/org/martenwell/error/Outcome.java
@@ -1,6 +1,6 @@
 package org.martenwell.error;
 
-/** The knowledge of whether a request ran at a target. */
+/** The execution state of a request at its target, as far as it is known. */
 public enum Outcome {
 
     /** The request did not run and will not run later. */
--- a/src/main/java/org/martenwell/http/AsyncHttpClient.java
+++ b/src/main/java/org/martenwell/http/AsyncHttpClient.java
@@ -26,7 +26,6 @@
 
     private final HttpClient client;
 
-    /** Creates calls in a loop. */
     private AsyncHttpClient(HttpClient client) {
         this.client = client;
     }
@@ -115,10 +114,10 @@
     }
 
     /**
-     * Reads the body of a response.
+     * Reads the complete body of a response.
      *
-     * @param response The response.
-     * @return The response.
+     * @param response The response, whose body has not been read yet.
+     * @return The response with its body.
      */
     public static Promise<BufferedHttpResponse> readWhole(HttpResponse response) {
         int status = response.getCode();
--- a/src/main/java/org/martenwell/http/ConnectFailureInspector.java
+++ b/src/main/java/org/martenwell/http/ConnectFailureInspector.java
@@ -5,8 +5,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * An HTTP client inspector that marks requests whose connection could not be opened. No byte of
- * these was sent, so a retry is safe.
+ * An HTTP client inspector that marks requests whose connection could not be opened. No part of
+ * such a request was sent, so a retry is safe.
  */
 public final class ConnectFailureInspector extends HttpClient.JmxInspector {
 
--- a/src/main/java/org/martenwell/http/HeaderFields.java
+++ b/src/main/java/org/martenwell/http/HeaderFields.java
@@ -97,10 +97,10 @@
     }
 
     /**
-     * Filters the fields of a caller's request that are forwarded to a target.
+     * Returns the fields of a caller's request that are forwarded to a target.
      *
      * @param fields The fields.
-     * @return The fields without hop-by-hop, credential and priority fields.
+     * @return The fields without hop-by-hop, framing, credential, encoding and priority fields.
      */
     public static List<HeaderField> forTarget(List<HeaderField> fields) {
         return endToEnd(fields).stream()
@@ -109,10 +109,11 @@
     }
 
     /**
-     * Filters the fields of a target's response that are forwarded to a caller.
+     * Returns the fields of a target's response that are forwarded to a caller.
      *
      * @param fields The fields.
-     * @return The fields without hop-by-hop fields and fields that the router sets itself.
+     * @return The fields without hop-by-hop and framing fields and those that the router sets or
+     *     interprets itself.
      */
     public static List<HeaderField> forCaller(List<HeaderField> fields) {
         return endToEnd(fields).stream()
--- a/src/main/java/org/martenwell/json/DocumentProblems.java
+++ b/src/main/java/org/martenwell/json/DocumentProblems.java
@@ -5,7 +5,7 @@
 import org.martenwell.error.ErrorKind;
 import org.martenwell.error.MartenwellException;
 
-/** Throws exceptions for documents with problems. */
+/** Reports all problems of a document in one exception. */
 public final class DocumentProblems {
 
     private DocumentProblems() {}
--- a/src/main/java/org/martenwell/json/JsonDocuments.java
+++ b/src/main/java/org/martenwell/json/JsonDocuments.java
@@ -81,7 +81,8 @@
     }
 
     /**
-     * Maps a document to a type after its schema was checked.
+     * Maps a document to a type after its schema was checked. Throws {@link
+     * ErrorKind#INVALID_DOCUMENT} if the document does not match the type.
      *
      * @param root The root node of the document.
      * @param type The class to map to.
--- a/src/main/java/org/martenwell/json/JsonTrees.java
+++ b/src/main/java/org/martenwell/json/JsonTrees.java
@@ -47,8 +47,8 @@
     private static final int MAX_DEPTH = 64;
 
     /**
-     * The maximum digits of an integer in lenient mode; strict parsers enforce a limit of their
-     * own.
+     * The maximum number of digits of an integer in lenient mode; strict parsers enforce a limit of
+     * their own.
      */
     private static final int MAX_DIGITS = 1_000;
 
--- a/src/main/java/org/martenwell/observe/JsonLine.java
+++ b/src/main/java/org/martenwell/observe/JsonLine.java
@@ -21,7 +21,6 @@
     /** The object without its closing brace. */
     private final StringBuilder text = new StringBuilder(256);
 
-    /** Created by {@link #of}. */
     private JsonLine() {}
 
     /**
@@ -69,11 +68,7 @@
         return text + "}" + System.lineSeparator();
     }
 
-    /**
-     * Appends a message as the value of the field {@code data}.
-     *
-     * @param message The message.
-     */
+    /** Appends a message as the value of the field {@code data}. */
     private void appendData(Message message) {
         if (message instanceof MapMessage<?, ?> fields) {
             text.append(fields.asString(MapMessage.MapFormat.JSON.name()));
@@ -84,11 +79,6 @@
         }
     }
 
-    /**
-     * Appends a string with the escapes of JSON.
-     *
-     * @param value The string.
-     */
     private void appendEscaped(String value) {
         int start = text.length();
         text.append(value);
--- a/src/main/java/org/martenwell/observe/LogConfiguration.java
+++ b/src/main/java/org/martenwell/observe/LogConfiguration.java
@@ -15,7 +15,7 @@
     private static final String LEVEL_PROPERTY = "martenwell.log.level";
 
     /** Prefix of the names of the program's own loggers. */
-    private static final String PROGRAM = "org.martenwell";
+    private static final String LOGGER_PREFIX = "org.martenwell";
 
     /** Settings until {@link #install} is called. */
     private static final LogConfiguration DEFAULT =
@@ -52,6 +52,6 @@
      * @return The least severe level that the logger writes.
      */
     Level level(String logger) {
-        return logger.startsWith(PROGRAM) ? level : Level.ERROR;
+        return logger.startsWith(LOGGER_PREFIX) ? level : Level.ERROR;
     }
 }
--- a/src/main/java/org/martenwell/observe/LogEvent.java
+++ b/src/main/java/org/martenwell/observe/LogEvent.java
@@ -11,7 +11,6 @@
     /** The fields by name. */
     private final Map<String, Object> fields = new LinkedHashMap<>();
 
-    /** Created by {@link #of}. */
     private LogEvent() {}
 
     /**
--- a/src/main/java/org/martenwell/observe/LogWriter.java
+++ b/src/main/java/org/martenwell/observe/LogWriter.java
@@ -21,7 +21,7 @@
     /** Time that {@link #stop} waits for the remaining lines, in milliseconds. */
     private static final long STOP_TIMEOUT_MILLIS = 500;
 
-    /** Empty line that wakes the thread to let it see that it is stopped. */
+    /** Empty line that wakes the writer thread, so that it checks {@link #stopping}. */
     private static final String WAKE_UP = "";
 
     private final PrintStream out;
@@ -88,11 +88,7 @@
         }
     }
 
-    /**
-     * Writes a batch of lines in one call, with the report of dropped lines if there is one.
-     *
-     * @param lines The lines.
-     */
+    /** Writes a batch of lines in one call, with the report of dropped lines if there is one. */
     private void writeAll(List<String> lines) {
         String text = String.join("", lines) + droppedReport();
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/org/martenwell/observe/PrometheusText.java
+++ b/src/main/java/org/martenwell/observe/PrometheusText.java
@@ -12,7 +12,6 @@
     /** Prefix of all metric names. */
     private static final String PREFIX = "martenwell_";
 
-    /** Not instantiated. */
     private PrometheusText() {}
 
     /**
--- a/src/main/java/org/martenwell/once/IdempotencyKey.java
+++ b/src/main/java/org/martenwell/once/IdempotencyKey.java
@@ -27,7 +27,7 @@
      * if it is no UUID of version 7, or with {@link ErrorKind#KEY_EXPIRED} if its timestamp differs
      * from the current time by more than {@link #WINDOW_MILLIS}.
      *
-     * @param text The key.
+     * @param text The key as the caller sent it.
      * @param now The current time in milliseconds since 1970.
      * @return The key.
      */
--- a/src/main/java/org/martenwell/once/LedgerShard.java
+++ b/src/main/java/org/martenwell/once/LedgerShard.java
@@ -15,9 +15,9 @@
 import org.martenwell.objects.StoredObject;
 
 /**
- * One ledger object as changed by this router. Pending operations are written together by a
- * conditional update. After any failure, the object is read again and the operations are applied
- * again, which is safe because they are idempotent.
+ * One ledger object and the operations of this router on it. Pending operations are written
+ * together by a conditional update. After any failure, the object is read again and the operations
+ * are applied again, which is safe because they are idempotent.
  */
 final class LedgerShard {
 
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Applies an operation.
+     * Queues an operation for the next write.
      *
      * @param operation The operation.
      * @return The claims after the operation took effect. If this fails, the operation may still
--- a/src/main/java/org/martenwell/policy/PolicyCompiler.java
+++ b/src/main/java/org/martenwell/policy/PolicyCompiler.java
@@ -101,8 +101,8 @@
     public PolicyProgram compile(String expression) {
         try {
             CelAbstractSyntaxTree tree = COMPILER.compile(expression).getAst();
-            CelRuntime.Program planned = RUNTIME.createProgram(tree);
-            return input -> evaluate(planned, input);
+            CelRuntime.Program program = RUNTIME.createProgram(tree);
+            return input -> evaluate(program, input);
         } catch (CelValidationException | CelEvaluationException exception) {
             throw MartenwellException.of(
                     ErrorKind.INVALID_DOCUMENT, exception.getMessage(), exception);
--- a/src/main/java/org/martenwell/policy/PolicyProgram.java
+++ b/src/main/java/org/martenwell/policy/PolicyProgram.java
@@ -1,6 +1,6 @@
 package org.martenwell.policy;
 
-/** Compiled policy. */
+/** Policy compiled from a CEL expression by {@link PolicyCompiler}. */
 @FunctionalInterface
 public interface PolicyProgram {
 
--- a/src/main/java/org/martenwell/policy/Verdict.java
+++ b/src/main/java/org/martenwell/policy/Verdict.java
@@ -5,8 +5,8 @@
 /**
  * Decision of a policy about a request.
  *
- * @param priority The priority from 0 (lowest) to 9 (highest), 0 for rejected requests.
- * @param refusal The reason for a rejection, empty if the request is accepted.
+ * @param priority The priority from 0 (lowest) to 9 (highest), 0 for refused requests.
+ * @param refusal The reason for a refusal, empty if the request is accepted.
  */
 public record Verdict(int priority, Optional<String> refusal) {
 
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Creates a decision that rejects a request. Bound to the CEL function {@code refuse}.
+     * Creates a decision that refuses a request. Bound to the CEL function {@code refuse}.
      *
      * @param reason The reason sent to the caller.
      * @return The decision.
--- a/src/main/java/org/martenwell/policy/package-info.java
+++ b/src/main/java/org/martenwell/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Admission policies: CEL expressions that accept requests with a priority or reject them. */
+/** Admission policies: CEL expressions that accept requests with a priority or refuse them. */
 package org.martenwell.policy;
--- a/src/test/java/org/martenwell/once/ClaimLedgerTest.java
+++ b/src/test/java/org/martenwell/once/ClaimLedgerTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Guards against two requests holding the claim of the same key when several routers claim
- * concurrently and the platform fails calls or loses replies.
+ * concurrently and the platform fails calls or loses responses.
  */
 class ClaimLedgerTest {
 
@@ -33,9 +33,9 @@
     void testNoKeyIsGrantedTwiceDespiteFailures(
             @ForAll @IntRange(max = 1_000_000) int seed,
             @ForAll @IntRange(max = 30) int failureRate,
-            @ForAll @IntRange(max = 30) int lostReplyRate) {
+            @ForAll @IntRange(max = 30) int lostResponseRate) {
         FakePlatform platform =
-                new FakePlatform(seed, failureRate / 100.0, lostReplyRate / 100.0, true);
+                new FakePlatform(seed, failureRate / 100.0, lostResponseRate / 100.0, true);
         History history = run(platform, seed);
         assertThat(history.maxGrantsPerKey()).isLessThanOrEqualTo(1);
     }
--- a/src/test/java/org/martenwell/once/FakePlatform.java
+++ b/src/test/java/org/martenwell/once/FakePlatform.java
@@ -15,14 +15,14 @@
 import org.martenwell.objects.StoredObject;
 
 /**
- * In-memory platform whose calls are delayed, fail at random or lose replies after taking effect.
+ * In-memory platform whose calls are delayed, fail at random or lose responses after taking effect.
  */
 final class FakePlatform implements Platform {
 
     private final Map<String, StoredObject> objects = new HashMap<>();
     private final Random random;
     private final double failureRate;
-    private final double lostReplyRate;
+    private final double lostResponseRate;
     private final boolean conditional;
     private long version;
     private long writes;
@@ -31,10 +31,10 @@
      * The rates are between 0 and 1. If {@code conditional} is {@code false}, writes ignore the
      * expected version.
      */
-    FakePlatform(long seed, double failureRate, double lostReplyRate, boolean conditional) {
+    FakePlatform(long seed, double failureRate, double lostResponseRate, boolean conditional) {
         this.random = new Random(seed);
         this.failureRate = failureRate;
-        this.lostReplyRate = lostReplyRate;
+        this.lostResponseRate = lostResponseRate;
         this.conditional = conditional;
     }
 
@@ -72,7 +72,7 @@
                         })
                 .then(
                         stored ->
-                                random.nextDouble() < lostReplyRate
+                                random.nextDouble() < lostResponseRate
                                         ? failed()
                                         : Promise.of(stored));
     }
@@ -84,7 +84,7 @@
 
     private static <T> Promise<T> failed() {
         return Promise.ofException(
-                MartenwellException.of(ErrorKind.PLATFORM_UNAVAILABLE, "No reply."));
+                MartenwellException.of(ErrorKind.PLATFORM_UNAVAILABLE, "No response."));
     }
 
     @Override
