--- a/src/main/java/org/martenwell/caller/CallerResponses.java
+++ b/src/main/java/org/martenwell/caller/CallerResponses.java
@@ -17,7 +17,7 @@
     private CallerResponses() {}
 
     /**
-     * Builds the response to a request that a target has answered.
+     * Builds a response that forwards a target's response.
      *
      * @param response The target's response.
      * @param id The request's id.
--- a/src/main/java/org/martenwell/caller/RequestAdmission.java
+++ b/src/main/java/org/martenwell/caller/RequestAdmission.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Admits a request, or throws an exception if the policy or the rate limit refuses it or no
-     * target serves the pool. Refusals are logged.
+     * Admits a request. Throws an exception if the policy or the rate limit refuses it or no target
+     * serves the pool. Refusals are logged.
      *
      * @param active The active configuration.
      * @param organisation The caller's organisation.
--- a/src/main/java/org/martenwell/caller/RequestChecker.java
+++ b/src/main/java/org/martenwell/caller/RequestChecker.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Throws an exception if a request is ambiguous or too large. The body is checked by its stated
-     * length only; its reader limits bodies without one.
+     * Throws an exception if a request is ambiguous or too large. The body is only checked by its
+     * Content-Length; a body without one is limited when it is read.
      *
      * @param request The request, whose body needn't have arrived.
      */
--- a/src/main/java/org/martenwell/caller/ServiceEndpoint.java
+++ b/src/main/java/org/martenwell/caller/ServiceEndpoint.java
@@ -71,7 +71,7 @@
         ActiveConfiguration active = admission.configuration();
         Organisation organisation = admission.authenticate(active, request);
         String remainder = request.getPathAndQuery().substring(PATH_PREFIX.length());
-        int end = nameEnd(remainder);
+        int end = endOfName(remainder);
         String name = remainder.substring(0, end);
         Service service =
                 active.service(name)
@@ -86,7 +86,7 @@
                 .then(body -> dispatch(active, organisation, service, request, path, body, id));
     }
 
-    private static int nameEnd(String remainder) {
+    private static int endOfName(String remainder) {
         for (int index = 0; index < remainder.length(); index++) {
             if (remainder.charAt(index) == '/' || remainder.charAt(index) == '?') {
                 return index;
--- a/src/main/java/org/martenwell/command/DemoCommand.java
+++ b/src/main/java/org/martenwell/command/DemoCommand.java
@@ -12,7 +12,7 @@
 import org.martenwell.error.MartenwellException;
 import org.martenwell.json.Json;
 
-/** Runs a complete site on loopback under load and prints what it measured. */
+/** Runs a complete site on loopback under load and prints the measurements. */
 enum DemoCommand implements Command {
 
     /** The only instance. */
--- a/src/main/java/org/martenwell/command/GatewayCommand.java
+++ b/src/main/java/org/martenwell/command/GatewayCommand.java
@@ -27,7 +27,7 @@
     /** The option with the name of the environment variable that holds the path of the settings. */
     private static final String VARIABLE_OPTION = "settings-variable";
 
-    /** The option with the time after which the gateway drains by itself. */
+    /** The option with the time after which the gateway drains without a signal, in seconds. */
     private static final String RUN_FOR_OPTION = "run-for";
 
     private static final double MILLIS_PER_SECOND = 1_000;
--- a/src/main/java/org/martenwell/command/OptionSet.java
+++ b/src/main/java/org/martenwell/command/OptionSet.java
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Reads the only positional argument. Throws an exception unless there is exactly one.
+     * Reads the only positional argument, a file. Throws an exception unless there is exactly one.
      *
      * @param line The parsed command line.
      * @return The file.
--- a/src/main/java/org/martenwell/daemon/AssignmentInput.java
+++ b/src/main/java/org/martenwell/daemon/AssignmentInput.java
@@ -6,8 +6,8 @@
 import org.martenwell.member.CoordinatorCandidate;
 
 /**
- * The input of an assignment of coordinators to targets, kept to skip an assignment if nothing
- * changed.
+ * The input of an assignment of coordinators to targets. An assignment is skipped if its input
+ * equals that of the previous one.
  *
  * @param targets All targets of the active configuration.
  * @param candidates The ready routers, which may coordinate targets.
--- a/src/main/java/org/martenwell/daemon/RouterDaemon.java
+++ b/src/main/java/org/martenwell/daemon/RouterDaemon.java
@@ -92,7 +92,9 @@
 
     private final RouterSettings settings;
 
-    /** The start time in milliseconds, which tells this run of the router from earlier ones. */
+    /**
+     * The start time in milliseconds, which distinguishes this run of the router from earlier ones.
+     */
     private final long incarnation;
 
     /** The client that reuses its connections. */
@@ -318,8 +320,8 @@
                 network.send(
                         request.router(), new ConfigurationResponse(store.version(), store.text()));
             }
-        } else if (message instanceof ConfigurationResponse answer) {
-            store.offer(answer.version(), answer.text());
+        } else if (message instanceof ConfigurationResponse response) {
+            store.offer(response.version(), response.text());
         }
     }
 
@@ -368,13 +370,13 @@
     }
 
     private void startPeriodicTasks() {
-        RouterIntervals times = RouterIntervals.DEFAULTS;
+        RouterIntervals intervals = RouterIntervals.DEFAULTS;
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis(), this::broadcastHeartbeat);
         ticker.every(MembershipParameters.DEFAULTS.heartbeatMillis() / 2, this::expireMembers);
-        ticker.every(times.countersMillis(), scheduler::exchangeCounters);
-        ticker.every(times.maintainMillis(), scheduler::maintain);
-        ticker.every(times.meterMillis(), dispatcher::recordElapsedService);
-        ticker.every(times.pollMillis(), monitor::poll);
+        ticker.every(intervals.countersMillis(), scheduler::exchangeCounters);
+        ticker.every(intervals.maintainMillis(), scheduler::maintain);
+        ticker.every(intervals.meterMillis(), dispatcher::recordElapsedService);
+        ticker.every(intervals.pollMillis(), monitor::poll);
         settings.seedPeers().ifPresent(this::connectToSeedPeers);
     }
 
@@ -508,7 +510,7 @@
      * Waits until no request is running or waiting.
      *
      * @param deadline The time at which to stop waiting, in milliseconds.
-     * @return The requests that remain, none if the deadline wasn't reached.
+     * @return The numbers of requests that remain, all 0 unless the deadline has passed.
      */
     private Promise<DrainReport> awaitIdle(long deadline) {
         return Promises.repeat(
--- a/src/main/java/org/martenwell/demo/Demo.java
+++ b/src/main/java/org/martenwell/demo/Demo.java
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Prints the addresses and an API key to try. */
+    /** Prints the routers' addresses and an API key for requests by hand. */
     private void printAddresses(DemoFleet fleet) {
         for (var settings : fleet.routerSettings()) {
             out.printf(
@@ -140,7 +140,7 @@
                         / (double) (after.possible() - before.possible()),
                 largestGap,
                 (after.peerBytes() - before.peerBytes()) / elapsed / routerCount,
-                difference(before.peerBytesByKind(), after.peerBytesByKind()),
+                difference(before.peerBytesByType(), after.peerBytesByType()),
                 (after.platformCalls() - before.platformCalls()) / elapsed,
                 percentiles(
                         totals.entrySet().stream()
--- a/src/main/java/org/martenwell/demo/DemoFleet.java
+++ b/src/main/java/org/martenwell/demo/DemoFleet.java
@@ -227,7 +227,7 @@
             routerLoops
                     .get(index)
                     .call(() -> Promise.of(traffic.bytesByType()))
-                    .forEach((kind, sent) -> bytesByType.merge(kind, sent, Long::sum));
+                    .forEach((type, sent) -> bytesByType.merge(type, sent, Long::sum));
         }
         long produced = 0;
         long possible = 0;
@@ -296,16 +296,17 @@
                 });
     }
 
-    /** Waits until every router is ready and sees all others as members. */
+    /** Waits until every router is ready and has all others as members. */
     private void awaitReady() {
         long deadline = System.currentTimeMillis() + READY_TIMEOUT_MILLIS;
         while (System.currentTimeMillis() < deadline) {
-            boolean all = true;
+            boolean allReady = true;
             for (int index = 0; index < routers.size(); index++) {
                 RouterStatus status = status(index);
-                all = all && status.ready() && status.members().size() == routers.size() - 1;
+                allReady =
+                        allReady && status.ready() && status.members().size() == routers.size() - 1;
             }
-            if (all) {
+            if (allReady) {
                 return;
             }
             sleep(50);
--- a/src/main/java/org/martenwell/demo/DemoSite.java
+++ b/src/main/java/org/martenwell/demo/DemoSite.java
@@ -29,7 +29,7 @@
     /** The model that all organisations use. */
     public static final String MODEL = "cold-chain-7b";
 
-    /** The plain service with repeatable requests. */
+    /** The plain service whose requests may run more than once, depending on their method. */
     public static final String SERVICE = "alarms";
 
     /** The plain service whose requests must not run more than once. */
@@ -50,11 +50,11 @@
     private static final int APPLICATION_SLOTS = 32;
 
     /** The backlogged organisations, which keep a constant number of requests open. */
-    private static final List<String> LARGE =
+    private static final List<String> LARGE_ORGANISATIONS =
             List.of("district-east", "district-west", "vaccine-store");
 
     /** The number of organisations with little load. */
-    private static final int SMALL = 7;
+    private static final int SMALL_COUNT = 7;
 
     /** The concurrent requests of each large organisation. */
     private static final int LARGE_CONCURRENCY = 48;
@@ -165,13 +165,13 @@
      */
     static List<OrganisationLoad> load(List<String> routers) {
         List<OrganisationLoad> loads = new ArrayList<>();
-        for (int index = 0; index < LARGE.size(); index++) {
-            int first = index * routers.size() / LARGE.size();
-            int count = index == 0 ? 1 : Math.max(1, routers.size() / LARGE.size());
+        for (int index = 0; index < LARGE_ORGANISATIONS.size(); index++) {
+            int first = index * routers.size() / LARGE_ORGANISATIONS.size();
+            int count = index == 0 ? 1 : Math.max(1, routers.size() / LARGE_ORGANISATIONS.size());
             List<String> used = routers.subList(first, Math.min(routers.size(), first + count));
-            loads.add(load(LARGE.get(index), used, LARGE_CONCURRENCY, 0));
+            loads.add(load(LARGE_ORGANISATIONS.get(index), used, LARGE_CONCURRENCY, 0));
         }
-        for (int index = 0; index < SMALL; index++) {
+        for (int index = 0; index < SMALL_COUNT; index++) {
             loads.add(load("clinic-" + index, routers, 0, SMALL_PER_SECOND));
         }
         return loads;
@@ -179,7 +179,7 @@
 
     /** {@return the names of the backlogged organisations} */
     static List<String> backlogged() {
-        return LARGE;
+        return LARGE_ORGANISATIONS;
     }
 
     private static OrganisationLoad load(
@@ -196,8 +196,8 @@
     }
 
     private static List<Organisation> organisations() {
-        List<String> names = new ArrayList<>(LARGE);
-        for (int index = 0; index < SMALL; index++) {
+        List<String> names = new ArrayList<>(LARGE_ORGANISATIONS);
+        for (int index = 0; index < SMALL_COUNT; index++) {
             names.add("clinic-" + index);
         }
         return names.stream()
--- a/src/main/java/org/martenwell/demo/DemoSummary.java
+++ b/src/main/java/org/martenwell/demo/DemoSummary.java
@@ -16,7 +16,7 @@
  * @param fairnessGapTokens The largest difference in delivered tokens between two backlogged
  *     organisations, over all samples since the warm-up.
  * @param controlBytesPerRouterSecond The bytes per second that each router sent to its peers.
- * @param controlBytesByKind The bytes that all routers sent to peers by kind of message, without
+ * @param controlBytesByKind The bytes that all routers sent to peers by message type, without
  *     framing.
  * @param platformCallsPerSecond The calls to the platform per second.
  * @param firstTokenMillis The time to first token of organisations without backlog in milliseconds,
--- a/src/main/java/org/martenwell/demo/FleetSample.java
+++ b/src/main/java/org/martenwell/demo/FleetSample.java
@@ -7,7 +7,8 @@
  *
  * @param atMillis The time of the sample, in milliseconds since the epoch.
  * @param peerBytes The bytes that routers sent to each other, including framing.
- * @param peerBytesByKind The bytes sent by kind of message, without framing.
+ * @param peerBytesByType The bytes that routers sent to each other by message type, without
+ *     framing.
  * @param produced The number of tokens that engines generated.
  * @param possible The number of tokens that fully used engines would have generated.
  * @param platformCalls The number of calls to the platform.
@@ -15,7 +16,7 @@
 public record FleetSample(
         long atMillis,
         long peerBytes,
-        Map<String, Long> peerBytesByKind,
+        Map<String, Long> peerBytesByType,
         long produced,
         long possible,
         long platformCalls) {}
--- a/src/main/java/org/martenwell/operator/OperatorServlet.java
+++ b/src/main/java/org/martenwell/operator/OperatorServlet.java
@@ -100,7 +100,8 @@
      * Applies the configuration in a request's body, if its base version is still current.
      *
      * @param request The request, with the token and the base version.
-     * @return The response, after the routers have applied the configuration or the wait has ended.
+     * @return The response, after all routers have applied the configuration or the wait for them
+     *     has timed out.
      */
     private Promise<HttpResponse> apply(HttpRequest request) {
         requireToken(request);
--- a/src/main/java/org/martenwell/operator/RouterControl.java
+++ b/src/main/java/org/martenwell/operator/RouterControl.java
@@ -7,7 +7,7 @@
 import org.martenwell.router.RouterMetrics;
 import org.martenwell.router.RouterStatus;
 
-/** The operations of a router that its operator port offers. */
+/** The operations of a router that its HTTP interface for operators calls. */
 public interface RouterControl {
 
     /**
--- a/src/main/java/org/martenwell/standin/BoxChange.java
+++ b/src/main/java/org/martenwell/standin/BoxChange.java
@@ -7,6 +7,6 @@
  *
  * @param name The name of the box.
  * @param state The new state.
- * @param shownAt The time from which the list shows it, in milliseconds of the event loop.
+ * @param visibleAt The time from which the list shows it, in milliseconds of the event loop.
  */
-record BoxChange(String name, BoxState state, long shownAt) {}
+record BoxChange(String name, BoxState state, long visibleAt) {}
--- a/src/main/java/org/martenwell/standin/BoxList.java
+++ b/src/main/java/org/martenwell/standin/BoxList.java
@@ -5,15 +5,12 @@
 import org.martenwell.objects.Box;
 import org.martenwell.objects.BoxState;
 
-/**
- * The box list of the platform stand-in. Changes become visible after a delay, as on the real
- * platform.
- */
+/** The box list of the platform stand-in, which shows changes late, as the real platform does. */
 final class BoxList {
 
     private final long lagMillis;
 
-    private final List<Box> shown;
+    private final List<Box> visibleBoxes;
 
     private final List<BoxChange> pending = new ArrayList<>();
 
@@ -24,7 +21,7 @@
      * @param lagMillis The delay until a change is visible, in milliseconds.
      */
     BoxList(List<Box> boxes, long lagMillis) {
-        this.shown = new ArrayList<>(boxes);
+        this.visibleBoxes = new ArrayList<>(boxes);
         this.lagMillis = lagMillis;
     }
 
@@ -47,12 +44,13 @@
      */
     List<Box> boxes(long now) {
         for (BoxChange change : List.copyOf(pending)) {
-            if (change.shownAt() <= now) {
+            if (change.visibleAt() <= now) {
                 pending.remove(change);
-                shown.replaceAll(box -> box.name().equals(change.name()) ? with(box, change) : box);
+                visibleBoxes.replaceAll(
+                        box -> box.name().equals(change.name()) ? with(box, change) : box);
             }
         }
-        return List.copyOf(shown);
+        return List.copyOf(visibleBoxes);
     }
 
     private static Box with(Box box, BoxChange change) {
--- a/src/main/java/org/martenwell/standin/CompletionSerializer.java
+++ b/src/main/java/org/martenwell/standin/CompletionSerializer.java
@@ -12,7 +12,7 @@
     /** The number of prompt bytes counted as one token. */
     private static final int BYTES_PER_TOKEN = 4;
 
-    private static final String END = "data: [DONE]\n\n";
+    private static final String DONE_EVENT = "data: [DONE]\n\n";
 
     private final boolean chat;
 
@@ -57,7 +57,7 @@
      */
     byte[] end(int index) {
         byte[] last = event(index, choice("", true, Optional.of("stop")));
-        byte[] end = END.getBytes(StandardCharsets.UTF_8);
+        byte[] end = DONE_EVENT.getBytes(StandardCharsets.UTF_8);
         byte[] both = Arrays.copyOf(last, last.length + end.length);
         System.arraycopy(end, 0, both, last.length, end.length);
         return both;
--- a/src/main/java/org/martenwell/standin/EngineCore.java
+++ b/src/main/java/org/martenwell/standin/EngineCore.java
@@ -17,7 +17,7 @@
 final class EngineCore {
 
     /** The sigma of the log-normal distribution of response lengths. */
-    private static final double SIGMA = 1.0;
+    private static final double LENGTH_SIGMA = 1.0;
 
     /** The time for which streams of finished requests can be resumed, in milliseconds. */
     private static final long RETENTION_MILLIS = 60_000;
@@ -29,7 +29,7 @@
     private final Map<String, Generation> generations = new LinkedHashMap<>();
 
     /** The number of submissions, by request id. */
-    private final Map<String, Integer> starts = new LinkedHashMap<>();
+    private final Map<String, Integer> submissions = new LinkedHashMap<>();
 
     /** The queued requests, by descending priority, then by arrival. */
     private final TreeSet<Generation> waiting =
@@ -41,7 +41,7 @@
     private final List<Generation> running = new ArrayList<>();
 
     /** The sequence number of the last request. */
-    private long number;
+    private long lastNumber;
 
     private long produced;
 
@@ -66,9 +66,9 @@
      * @return The generation.
      */
     Generation submit(String id, int priority, int limit) {
-        number++;
-        starts.merge(id, 1, Integer::sum);
-        Generation generation = new Generation(id, priority, number, drawLength(limit));
+        lastNumber++;
+        submissions.merge(id, 1, Integer::sum);
+        Generation generation = new Generation(id, priority, lastNumber, drawLength(limit));
         generations.put(id, generation);
         waiting.add(generation);
         startQueued();
@@ -138,7 +138,7 @@
         return steps * settings.slots();
     }
 
-    /** {@return a record for each request that the engine remembers} */
+    /** {@return a record for each request that the engine retains} */
     List<RunRecord> records() {
         Collection<Generation> all = generations.values();
         return all.stream()
@@ -146,7 +146,7 @@
                         each ->
                                 new RunRecord(
                                         each.id(),
-                                        starts.get(each.id()),
+                                        submissions.get(each.id()),
                                         each.tokens().size(),
                                         each.text(),
                                         each.state()))
@@ -164,7 +164,7 @@
 
     /** Draws the length of a response, in tokens. */
     private int drawLength(int limit) {
-        double drawn = settings.medianTokens() * Math.exp(SIGMA * random.nextGaussian());
+        double drawn = settings.medianTokens() * Math.exp(LENGTH_SIGMA * random.nextGaussian());
         int bounded = (int) Math.max(1, Math.min(settings.maxTokens(), drawn));
         return limit > 0 ? Math.min(limit, bounded) : bounded;
     }
--- a/src/main/java/org/martenwell/standin/EventSource.java
+++ b/src/main/java/org/martenwell/standin/EventSource.java
@@ -54,12 +54,12 @@
                                 return Promise.ofException(
                                         new IOException("Connection dropped by fault injection."));
                             }
-                            return Promise.of(available());
+                            return Promise.of(serializeUnsent());
                         });
     }
 
     /** Serializes the events of all tokens generated but not sent yet. */
-    private ByteBuf available() {
+    private ByteBuf serializeUnsent() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (next < generation.tokens().size()) {
             bytes.writeBytes(serializer.event(next, generation.tokens().get(next)));
--- a/src/main/java/org/martenwell/standin/Generation.java
+++ b/src/main/java/org/martenwell/standin/Generation.java
@@ -14,7 +14,7 @@
 
     private final long number;
 
-    private final int total;
+    private final int length;
 
     private final List<String> tokens = new ArrayList<>();
 
@@ -33,13 +33,13 @@
      * @param id The request id.
      * @param priority The priority; higher values run first.
      * @param number The sequence number, in order of arrival.
-     * @param total The number of tokens to generate.
+     * @param length The number of tokens to generate.
      */
-    Generation(String id, int priority, long number, int total) {
+    Generation(String id, int priority, long number, int length) {
         this.id = id;
         this.priority = priority;
         this.number = number;
-        this.total = total;
+        this.length = length;
     }
 
     /** {@return the request id} */
@@ -79,7 +79,7 @@
      */
     void produce(long now) {
         tokens.add("t" + tokens.size() + "-" + id.substring(Math.max(0, id.length() - 4)) + " ");
-        if (tokens.size() >= total) {
+        if (tokens.size() >= length) {
             finish(GenerationState.ENDED, now);
         } else {
             wakeWaiters();
@@ -89,12 +89,12 @@
     /**
      * Finishes the request unless it is finished already.
      *
-     * @param how {@link GenerationState#ENDED} or {@link GenerationState#CANCELLED}.
+     * @param finalState {@link GenerationState#ENDED} or {@link GenerationState#CANCELLED}.
      * @param now The current time, in milliseconds.
      */
-    void finish(GenerationState how, long now) {
+    void finish(GenerationState finalState, long now) {
         if (state == GenerationState.WAITING || state == GenerationState.RUNNING) {
-            state = how;
+            state = finalState;
             finishedAt = now;
             wakeWaiters();
         }
--- a/src/main/java/org/martenwell/standin/LoadClient.java
+++ b/src/main/java/org/martenwell/standin/LoadClient.java
@@ -14,7 +14,7 @@
 import org.martenwell.http.HeaderField;
 import org.martenwell.json.Json;
 
-/** Sends requests to routers as a caller does and verifies the responses. */
+/** A caller that sends requests to routers and verifies the responses. */
 final class LoadClient {
 
     private static final int MAX_BODY_BYTES = 16 << 20;
--- a/src/main/java/org/martenwell/standin/LoadGenerator.java
+++ b/src/main/java/org/martenwell/standin/LoadGenerator.java
@@ -13,7 +13,7 @@
 /** Generates the load of several organisations concurrently and records the results. */
 public final class LoadGenerator {
 
-    /** One of this many requests goes to the plain service. */
+    /** In a load sent at a rate, requests numbered with multiples of this go to the service. */
     private static final int SERVICE_EVERY = 4;
 
     private final NioReactor reactor;
@@ -93,7 +93,7 @@
 
     private Promise<Void> run(OrganisationLoad load) {
         if (!load.closedLoop()) {
-            return sendTimeRate(load);
+            return sendAtRate(load);
         }
         Promise<?>[] workers = new Promise<?>[load.concurrency()];
         for (int index = 0; index < workers.length; index++) {
@@ -122,7 +122,7 @@
      * Sends requests with exponentially distributed intervals, whether or not earlier ones are
      * finished.
      */
-    private Promise<Void> sendTimeRate(OrganisationLoad load) {
+    private Promise<Void> sendAtRate(OrganisationLoad load) {
         List<Promise<Void>> sent = new ArrayList<>();
         return Promises.repeat(
                         () -> {
@@ -140,16 +140,20 @@
         return Duration.ofMillis(Math.max(1, (long) millis));
     }
 
-    private Promise<Void> send(OrganisationLoad load, boolean mixed) {
+    private Promise<Void> send(OrganisationLoad load, boolean withServices) {
         number++;
         String router = load.routers().get((int) (number % load.routers().size()));
-        boolean counted = reactor.currentTimeMillis() >= measureFrom;
-        LoadTotals into = counted ? totals.get(load.organisation()) : warmUp;
-        if (mixed && load.service().isPresent() && number % SERVICE_EVERY == 0) {
-            return client.sendServiceRequest(load, router, load.service().get(), into);
+        boolean measured = reactor.currentTimeMillis() >= measureFrom;
+        LoadTotals results = measured ? totals.get(load.organisation()) : warmUp;
+        if (withServices && load.service().isPresent() && number % SERVICE_EVERY == 0) {
+            return client.sendServiceRequest(load, router, load.service().get(), results);
         }
         String prompt = "request " + number + " " + "x".repeat(load.promptBytes());
         return client.sendChat(
-                load, router, prompt, into, count -> recordDelivered(load.organisation(), count));
+                load,
+                router,
+                prompt,
+                results,
+                count -> recordDelivered(load.organisation(), count));
     }
 }
--- a/src/main/java/org/martenwell/standin/PrefixCache.java
+++ b/src/main/java/org/martenwell/standin/PrefixCache.java
@@ -53,9 +53,9 @@
         return events.stream().filter(event -> event.number() > after).toList();
     }
 
-    private void add(long prefix, boolean held) {
+    private void add(long prefix, boolean cached) {
         number++;
-        events.add(new CacheEvent(number, prefix, held));
+        events.add(new CacheEvent(number, prefix, cached));
         if (events.size() > MAX_EVENTS) {
             events.remove(0);
         }
--- a/src/main/java/org/martenwell/standin/StandinTarget.java
+++ b/src/main/java/org/martenwell/standin/StandinTarget.java
@@ -91,7 +91,7 @@
         return ServerStarter.start(server).whenResult(this::startSteps);
     }
 
-    /** Starts the engine steps of a model replica. */
+    /** Starts the engine steps if the target serves models. */
     private void startSteps() {
         nextStepAt = reactor.currentTimeMillis();
         if (settings.kind() == PoolKind.MODEL) {
--- a/src/test/java/org/martenwell/daemon/BadInputTest.java
+++ b/src/test/java/org/martenwell/daemon/BadInputTest.java
@@ -20,8 +20,8 @@
 import org.martenwell.standin.GenerationState;
 
 /**
- * Sends invalid requests. Each must get its documented response and must not disturb another
- * organisation's stream.
+ * Sends invalid requests. Each must get its documented response and must not affect another
+ * organisation's concurrent stream.
  */
 class BadInputTest {
 
--- a/src/test/java/org/martenwell/daemon/IdempotencyTest.java
+++ b/src/test/java/org/martenwell/daemon/IdempotencyTest.java
@@ -42,7 +42,7 @@
         String key = key();
         List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
         for (int index = 0; index < 30; index++) {
-            calls.add(lock(routers.get(index % 3), "batch-a", key));
+            calls.add(sendLock(routers.get(index % 3), "batch-a", key));
         }
         int successes = 0;
         for (CompletableFuture<HttpResponse<String>> call : calls) {
@@ -62,10 +62,10 @@
     @Test
     void testRepeatGetsStoredResponse() {
         String key = key();
-        HttpResponse<String> first = lock(routers.get(0), "batch-b", key).join();
-        HttpResponse<String> repeat = lock(routers.get(1), "batch-b", key).join();
+        HttpResponse<String> first = sendLock(routers.get(0), "batch-b", key).join();
+        HttpResponse<String> repeat = sendLock(routers.get(1), "batch-b", key).join();
         for (int attempt = 0; attempt < 100 && repeat.statusCode() == 409; attempt++) {
-            repeat = lock(routers.get(1), "batch-b", key).join();
+            repeat = sendLock(routers.get(1), "batch-b", key).join();
         }
         assertThat(repeat.body()).isEqualTo(first.body());
         assertThat(repeat.headers().firstValue("X-Repeated")).contains("true");
@@ -74,15 +74,15 @@
 
     @Test
     void testDifferentKeyRunsAgain() {
-        lock(routers.get(0), "batch-c", key()).join();
-        lock(routers.get(0), "batch-c", key()).join();
+        sendLock(routers.get(0), "batch-c", key()).join();
+        sendLock(routers.get(0), "batch-c", key()).join();
         assertThat(runs("batch-c")).isEqualTo(2);
     }
 
     @Test
     void testLostResponseOfPlatformIsResolvedByReading() {
         fleet.faults(new PlatformFaults(false, 0, 1));
-        HttpResponse<String> response = lock(routers.get(2), "batch-d", key()).join();
+        HttpResponse<String> response = sendLock(routers.get(2), "batch-d", key()).join();
         fleet.faults(PlatformFaults.NONE);
         assertThat(response.statusCode()).isEqualTo(200);
         assertThat(runs("batch-d")).isEqualTo(1);
@@ -91,7 +91,7 @@
     @Test
     void testRequestDoesNotRunWhileClaimsAreUnavailable() {
         fleet.faults(new PlatformFaults(true, 0, 0));
-        HttpResponse<String> response = lock(routers.get(0), "batch-e", key()).join();
+        HttpResponse<String> response = sendLock(routers.get(0), "batch-e", key()).join();
         fleet.faults(PlatformFaults.NONE);
         assertThat(TestCaller.code(response)).isEqualTo("claim_unavailable");
         assertThat(TestCaller.outcome(response)).isEqualTo("not-run");
@@ -100,7 +100,7 @@
 
     @Test
     void testMalformedKeyIsRejected() {
-        HttpResponse<String> response = lock(routers.get(0), "batch-f", "yesterday").join();
+        HttpResponse<String> response = sendLock(routers.get(0), "batch-f", "yesterday").join();
         assertThat(response.statusCode()).isEqualTo(400);
         assertThat(runs("batch-f")).isZero();
     }
@@ -115,7 +115,8 @@
         return Generators.timeBasedEpochGenerator().generate().toString();
     }
 
-    private CompletableFuture<HttpResponse<String>> lock(String router, String batch, String key) {
+    private CompletableFuture<HttpResponse<String>> sendLock(
+            String router, String batch, String key) {
         URI uri = URI.create("http://" + router + "/services/" + DemoSite.LOCK + "/" + batch);
         return client.sendAsync(
                 HttpRequest.newBuilder(uri)
--- a/src/test/java/org/martenwell/measure/FingerprintMeasure.java
+++ b/src/test/java/org/martenwell/measure/FingerprintMeasure.java
@@ -20,7 +20,7 @@
     private FingerprintMeasure() {}
 
     /**
-     * Prints a line for each size.
+     * Prints the time per request for each body size.
      *
      * @param arguments Not used.
      */
--- a/src/test/java/org/martenwell/measure/SlopeMeasurement.java
+++ b/src/test/java/org/martenwell/measure/SlopeMeasurement.java
@@ -70,14 +70,14 @@
         return slopes;
     }
 
-    /** Measures message sizes and times after the names are in the dictionary of the connection. */
+    /** Measures message sizes and times once the connection's dictionary contains all names. */
     private void measureMessages(int organisations) {
         measureMessage("service report", organisations, serviceReport(organisations, 1));
         List<Demand> demands = new ArrayList<>();
         List<Holding> holdings = new ArrayList<>();
         for (int index = 0; index < organisations / 10; index++) {
-            demands.add(new Demand(Pool.ofModel("model"), name(index), 8, 4_000));
-            holdings.add(new Holding("target-1", 1, name(index), 70_000, 69_000, 9, 0));
+            demands.add(new Demand(Pool.ofModel("model"), organisationName(index), 8, 4_000));
+            holdings.add(new Holding("target-1", 1, organisationName(index), 70_000, 69_000, 9, 0));
         }
         measureMessage(
                 "slot report",
@@ -99,21 +99,21 @@
                         1L << 40,
                         1L << 40,
                         false,
-                        List.of(new SlotGrant("target-1", 1, name(1), 70_000, false))));
+                        List.of(new SlotGrant("target-1", 1, organisationName(1), 70_000, false))));
         measureMessage(
                 "heartbeat",
                 organisations,
                 new Heartbeat("router-1", 1L << 40, 70_000, "10.1.2.3:7003", "domain", true, 900));
     }
 
-    private void measureMessage(String name, int organisations, PeerMessage message) {
+    private void measureMessage(String messageName, int organisations, PeerMessage message) {
         MessageWriter writer = new MessageWriter();
         MessageReader reader = new MessageReader();
         reader.read(writer.write(message));
         byte[] encoded = writer.write(message);
-        add(name + " size", organisations + " organisations", encoded.length, "bytes");
+        add(messageName + " size", organisations + " organisations", encoded.length, "bytes");
         time(
-                name + " written and read",
+                messageName + " written and read",
                 organisations + " organisations",
                 2_000,
                 () -> reader.read(writer.write(message)));
@@ -137,8 +137,8 @@
         String text = Json.print(configuration);
         String size = organisations + " organisations, " + organisations * 10 + " targets";
         add("configuration document", size, text.getBytes(StandardCharsets.UTF_8).length, "bytes");
-        byte[] one = Json.write(configuration.organisations().get(0));
-        add("configuration of one organisation", size, one.length, "bytes");
+        byte[] organisation = Json.write(configuration.organisations().get(0));
+        add("configuration of one organisation", size, organisation.length, "bytes");
         time(
                 "configuration checked and put in force",
                 size,
@@ -163,7 +163,7 @@
         long[] sequence = {1};
         List<Demand> demands = new ArrayList<>();
         for (int index = 0; index < backlogged; index++) {
-            demands.add(new Demand(Pool.ofModel("model-0"), name(index), 8, 1_000));
+            demands.add(new Demand(Pool.ofModel("model-0"), organisationName(index), 8, 1_000));
         }
         coordinator.receive(
                 new SlotReport("router-1", 1, 1, sequence[0], true, demands, List.of(), List.of()),
@@ -232,7 +232,7 @@
     private static ServiceReport serviceReport(int organisations, long sequence) {
         List<ServiceEntry> entries = new ArrayList<>();
         for (int index = 0; index < organisations / 10; index++) {
-            entries.add(new ServiceEntry(name(index), 1e7 + sequence, 1e6, 40));
+            entries.add(new ServiceEntry(organisationName(index), 1e7 + sequence, 1e6, 40));
         }
         return new ServiceReport("router-1", 1L << 40, sequence, 1e7, entries);
     }
@@ -247,7 +247,7 @@
                         .mapToObj(
                                 i ->
                                         new Organisation(
-                                                name(i),
+                                                organisationName(i),
                                                 "standard",
                                                 Map.of("size", "small"),
                                                 List.of(String.format("%064x", i))))
@@ -275,7 +275,7 @@
         return "domain-" + index % 23;
     }
 
-    private static String name(int index) {
+    private static String organisationName(int index) {
         return "organisation-" + index;
     }
 
