--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.route.GatewayConfiguration;
 
 /** Receives the contents of a {@link FleetDirectory} and their changes. */
@@ -44,5 +44,5 @@
      *
      * @param requests All quarantined requests by fingerprint.
      */
-    void heldRequestsChanged(Map<Fingerprint, HeldRequest> requests);
+    void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> requests);
 }
--- a/src/main/java/org/martenwell/directory/FleetDirectory.java
+++ b/src/main/java/org/martenwell/directory/FleetDirectory.java
@@ -1,7 +1,7 @@
 package org.martenwell.directory;
 
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.service.ManagedService;
 
 /**
@@ -37,7 +37,7 @@
      *
      * @param request The request.
      */
-    void hold(HeldRequest request);
+    void hold(QuarantinedRequest request);
 
     /**
      * Removes a quarantined request after it was served successfully.
--- a/src/main/java/org/martenwell/directory/HeldRequestJson.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestJson.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.RequestSummary;
 
 /**
@@ -41,7 +41,7 @@
      * @param request The request.
      * @return The object's value.
      */
-    static JsonNode write(HeldRequest request) {
+    static JsonNode write(QuarantinedRequest request) {
         ObjectNode value = JsonNodeFactory.instance.objectNode();
         value.put(METHOD, request.summary().method());
         value.put(HOST, request.summary().host());
@@ -61,7 +61,7 @@
      * @param entry The object.
      * @return The request, or empty if the object is malformed.
      */
-    static Optional<HeldRequest> read(StoredEntry entry) {
+    static Optional<QuarantinedRequest> read(StoredEntry entry) {
         JsonNode value = entry.value();
         if (!value.path(SINCE).isIntegralNumber()) {
             return Optional.empty();
@@ -69,7 +69,7 @@
         return Fingerprint.parse(entry.name())
                 .map(
                         fingerprint ->
-                                new HeldRequest(
+                                new QuarantinedRequest(
                                         fingerprint,
                                         new RequestSummary(
                                                 value.path(METHOD).asText(""),
--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/HeldRequestStore.java
@@ -13,7 +13,7 @@
 import org.apache.logging.log4j.Logger;
 import org.martenwell.observe.LogEvent;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.Quarantine;
 import org.martenwell.service.ManagedService;
 
@@ -89,7 +89,7 @@
      *
      * @param request The request.
      */
-    void hold(HeldRequest request) {
+    void hold(QuarantinedRequest request) {
         if (unwritten.add(request.fingerprint())) {
             write(request);
         }
@@ -105,7 +105,7 @@
         remove(fingerprint.toString(), Optional.empty());
     }
 
-    private void write(HeldRequest request) {
+    private void write(QuarantinedRequest request) {
         if (stopped || !unwritten.contains(request.fingerprint())) {
             return;
         }
@@ -138,9 +138,9 @@
      */
     private void apply(Map<String, StoredEntry> entries) {
         long expiredBefore = clock.millis() - Quarantine.HELD_MILLIS;
-        Map<Fingerprint, HeldRequest> held = new HashMap<>();
+        Map<Fingerprint, QuarantinedRequest> held = new HashMap<>();
         for (StoredEntry each : entries.values()) {
-            Optional<HeldRequest> request = HeldRequestJson.read(each);
+            Optional<QuarantinedRequest> request = HeldRequestJson.read(each);
             if (request.isEmpty()) {
                 listener.entryUnreadable(
                         each.name(), "The object is not a valid quarantined request.");
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -17,7 +17,7 @@
 import org.martenwell.json.Json;
 import org.martenwell.observe.LogEvent;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.route.GatewayConfiguration;
 
 /**
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void hold(HeldRequest request) {
+    public void hold(QuarantinedRequest request) {
         heldRequests.hold(request);
     }
 
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -19,7 +19,7 @@
 import org.martenwell.exchange.CallerServer;
 import org.martenwell.observe.PrometheusText;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.route.GatewayConfiguration;
 import org.martenwell.service.IpAddress;
 import org.martenwell.service.ManagedService;
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void heldRequestsChanged(Map<Fingerprint, HeldRequest> requests) {
+    public void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> requests) {
         core.harmful().applyStored(requests);
     }
 
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -13,7 +13,7 @@
 import org.martenwell.directory.FleetDirectory;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.Quarantine;
 import org.martenwell.quarantine.QuarantineUpdate;
 import org.martenwell.quarantine.RequestSummary;
@@ -210,7 +210,7 @@
      *
      * @param entries All quarantined requests in the directory.
      */
-    void applyStored(Map<Fingerprint, HeldRequest> entries) {
+    void applyStored(Map<Fingerprint, QuarantinedRequest> entries) {
         long now = reactor.currentTimeMillis();
         for (Fingerprint each : stored) {
             if (!entries.containsKey(each)) {
@@ -279,8 +279,8 @@
         }
         RequestSummary summary = summaries.get(fingerprint);
         if (summary != null && !stored.contains(fingerprint)) {
-            HeldRequest entry =
-                    new HeldRequest(
+            QuarantinedRequest entry =
+                    new QuarantinedRequest(
                             fingerprint,
                             summary,
                             quarantine.crashedIncarnations(fingerprint),
--- a/src/main/java/org/martenwell/quarantine/HeldRequest.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantinedRequest.java
@@ -13,7 +13,7 @@
  * @param sinceMillis The time at which the request was quarantined, in milliseconds since the Unix
  *     epoch.
  */
-public record HeldRequest(
+public record QuarantinedRequest(
         Fingerprint fingerprint,
         RequestSummary summary,
         Set<String> crashedIncarnations,
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.Quarantine;
 import org.martenwell.quarantine.RequestSummary;
 import org.martenwell.route.GatewayConfiguration;
@@ -49,7 +49,7 @@
 
     @Test
     void testWrittenRequestIsRead() {
-        HeldRequest request = request(NOW_MILLIS);
+        QuarantinedRequest request = request(NOW_MILLIS);
         requests.hold(request);
         start();
         assertThat(listener.requests).containsExactly(Map.entry(HARMFUL, request));
@@ -108,8 +108,8 @@
         loop.run();
     }
 
-    private static HeldRequest request(long sinceMillis) {
-        return new HeldRequest(
+    private static QuarantinedRequest request(long sinceMillis) {
+        return new QuarantinedRequest(
                 HARMFUL,
                 new RequestSummary("POST", "h", "/a", "clinic"),
                 Set.of("one@1", "two@1", "three@1"),
@@ -164,7 +164,7 @@
     /** Records the notifications of the store. */
     private static final class RecordingListener implements DirectoryListener {
 
-        private Map<Fingerprint, HeldRequest> requests = Map.of();
+        private Map<Fingerprint, QuarantinedRequest> requests = Map.of();
 
         private final List<String> unreadable = new ArrayList<>();
 
@@ -183,7 +183,7 @@
         public void membersChanged(Map<String, GatewayMember> members) {}
 
         @Override
-        public void heldRequestsChanged(Map<Fingerprint, HeldRequest> held) {
+        public void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> held) {
             requests = held;
         }
     }
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -18,7 +18,7 @@
 import org.martenwell.directory.FleetDirectory;
 import org.martenwell.directory.GatewayMember;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.service.EventLoopThread;
 import org.martenwell.service.IpAddress;
 import org.martenwell.service.LoopbackPorts;
@@ -154,7 +154,7 @@
         public void removeMember(String name) {}
 
         @Override
-        public void hold(HeldRequest request) {}
+        public void hold(QuarantinedRequest request) {}
 
         @Override
         public void release(Fingerprint fingerprint) {}
