--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -18,9 +18,9 @@
 import org.martenwell.service.ManagedService;
 
 /** Stores quarantined requests and reports those that other gateways have stored. */
-final class HeldRequestStore implements ManagedService {
+final class QuarantinedRequestStore implements ManagedService {
 
-    private static final Logger LOGGER = LogManager.getLogger(HeldRequestStore.class);
+    private static final Logger LOGGER = LogManager.getLogger(QuarantinedRequestStore.class);
 
     /** The delay before a failed write is retried, in milliseconds. */
     private static final long RETRY_MILLIS = 1_000;
@@ -53,7 +53,7 @@
      * @param listener Receives the quarantined requests.
      * @param clock The wall clock.
      */
-    HeldRequestStore(
+    QuarantinedRequestStore(
             NioReactor reactor,
             ObjectStore store,
             String kind,
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -58,7 +58,7 @@
 
     private final KindPoller gateways;
 
-    private final HeldRequestStore heldRequests;
+    private final QuarantinedRequestStore heldRequests;
 
     /** The version of the active configuration. */
     private long version;
@@ -115,7 +115,7 @@
                         PollInterval.GATEWAYS,
                         this::applyGateways);
         this.heldRequests =
-                new HeldRequestStore(
+                new QuarantinedRequestStore(
                         reactor,
                         store,
                         reader.heldRequestKind(),
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -23,7 +23,7 @@
 import org.martenwell.quarantine.RequestSummary;
 import org.martenwell.route.GatewayConfiguration;
 
-class HeldRequestStoreTest {
+class QuarantinedRequestStoreTest {
 
     private static final long NOW_MILLIS = 2 * Quarantine.HELD_MILLIS;
 
@@ -38,8 +38,8 @@
     private final Eventloop loop =
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
-    private final HeldRequestStore requests =
-            new HeldRequestStore(
+    private final QuarantinedRequestStore requests =
+            new QuarantinedRequestStore(
                     loop,
                     store,
                     "kind",
