--- a/src/main/java/org/martenwell/directory/HeldRequestJson.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestJson.java
@@ -15,7 +15,7 @@
  * JSON representation of quarantined requests in the store. The object's name is the request's
  * fingerprint.
  */
-final class HeldRequestJson {
+final class QuarantinedRequestJson {
 
     private static final String SINCE = "sinceMillis";
 
@@ -33,7 +33,7 @@
 
     private static final String ORGANISATION = "organisation";
 
-    private HeldRequestJson() {}
+    private QuarantinedRequestJson() {}
 
     /**
      * Converts a request to JSON.
--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -109,7 +109,7 @@
         if (stopped || !unwritten.contains(request.fingerprint())) {
             return;
         }
-        store.create(kind, request.fingerprint().toString(), HeldRequestJson.write(request))
+        store.create(kind, request.fingerprint().toString(), QuarantinedRequestJson.write(request))
                 .whenResult(() -> unwritten.remove(request.fingerprint()))
                 .whenException(
                         failure -> {
@@ -140,7 +140,7 @@
         long expiredBefore = clock.millis() - Quarantine.HELD_MILLIS;
         Map<Fingerprint, QuarantinedRequest> held = new HashMap<>();
         for (StoredEntry each : entries.values()) {
-            Optional<QuarantinedRequest> request = HeldRequestJson.read(each);
+            Optional<QuarantinedRequest> request = QuarantinedRequestJson.read(each);
             if (request.isEmpty()) {
                 listener.entryUnreadable(
                         each.name(), "The object is not a valid quarantined request.");
--- a/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -79,7 +79,7 @@
     @Test
     void testMalformedObjectsAreReportedAndIgnored() {
         requests.hold(request(NOW_MILLIS));
-        store.objects.put("no fingerprint", HeldRequestJson.write(request(NOW_MILLIS)));
+        store.objects.put("no fingerprint", QuarantinedRequestJson.write(request(NOW_MILLIS)));
         store.objects.put(
                 new Fingerprint(3, 4).toString(),
                 JsonNodeFactory.instance.objectNode().put("sinceMillis", "today"));
