--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -48,7 +48,7 @@
     /** The requests in the state {@link QuarantineState#UNDECIDED}. */
     private final Set<Fingerprint> undecided = new HashSet<>();
 
-    /** The requests in the state {@link QuarantineState#HELD}. */
+    /** The requests in the state {@link QuarantineState#QUARANTINED}. */
     private final Set<Fingerprint> held = new HashSet<>();
 
     /** The updates to send to peers. */
@@ -110,7 +110,7 @@
                 clearSuspicion(fingerprint, now);
                 yield false;
             }
-            case HELD -> hold(fingerprint, now);
+            case QUARANTINED -> hold(fingerprint, now);
         };
     }
 
@@ -266,7 +266,7 @@
         held.remove(fingerprint);
         if (state == QuarantineState.UNDECIDED) {
             undecided.add(fingerprint);
-        } else if (state == QuarantineState.HELD) {
+        } else if (state == QuarantineState.QUARANTINED) {
             held.add(fingerprint);
         }
     }
--- a/src/main/java/org/martenwell/quarantine/QuarantineState.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineState.java
@@ -16,7 +16,7 @@
     UNDECIDED(Optional.of(ErrorKind.MAY_END_TARGETS)),
 
     /** The request is quarantined and refused. */
-    HELD(Optional.of(ErrorKind.ENDS_TARGETS));
+    QUARANTINED(Optional.of(ErrorKind.ENDS_TARGETS));
 
     /** The error for a request in this state, empty if it may be sent. */
     private final Optional<ErrorKind> refusal;
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -40,6 +40,6 @@
      * @return The update.
      */
     public static QuarantineUpdate held(Fingerprint fingerprint) {
-        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.HELD, "");
+        return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.QUARANTINED, "");
     }
 }
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdateKind.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdateKind.java
@@ -14,7 +14,7 @@
     CLEARED(2),
 
     /** The request is quarantined. */
-    HELD(3);
+    QUARANTINED(3);
 
     /** The number of this kind in peer messages. */
     private final int number;
--- a/src/main/java/org/martenwell/quarantine/Suspicion.java
+++ b/src/main/java/org/martenwell/quarantine/Suspicion.java
@@ -105,7 +105,7 @@
         long first = crashes.values().stream().mapToLong(Long::longValue).min().orElse(now);
         long last = crashes.values().stream().mapToLong(Long::longValue).max().orElse(now);
         if (last - first >= MIN_CRASH_SPREAD_MILLIS) {
-            state = QuarantineState.HELD;
+            state = QuarantineState.QUARANTINED;
             changedMillis = now;
         } else {
             state = QuarantineState.FREE;
@@ -139,7 +139,7 @@
      */
     void hold(long now) {
         if (now >= ignoreHoldsUntil) {
-            state = QuarantineState.HELD;
+            state = QuarantineState.QUARANTINED;
             changedMillis = now;
         }
     }
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -175,7 +175,7 @@
             Fingerprint fingerprint = fingerprint(request);
             boolean heldAnywhere =
                     gateways.stream()
-                            .anyMatch(each -> each.state(fingerprint) == QuarantineState.HELD);
+                            .anyMatch(each -> each.state(fingerprint) == QuarantineState.QUARANTINED);
             held += heldAnywhere ? 1 : 0;
         }
         return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, held);
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -35,7 +35,7 @@
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.UNDECIDED);
         assertThat(quarantine.decide(1_700)).isEmpty();
         assertThat(quarantine.decide(1_800)).containsExactly(HARMFUL);
-        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
+        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
         assertThat(quarantine.state(OTHER)).isEqualTo(QuarantineState.FREE);
     }
 
@@ -134,14 +134,14 @@
             quarantine.recordCrash(new Fingerprint(5, other), "a", 1);
         }
         assertThat(quarantine.size()).isLessThan(5_000);
-        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
+        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
     }
 
     @Test
     void testQuarantineExpires() {
         quarantine.hold(HARMFUL, 0);
         quarantine.decide(Quarantine.HELD_MILLIS - 1);
-        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
+        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
         quarantine.decide(Quarantine.HELD_MILLIS);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         assertThat(quarantine.tracksScope(HARMFUL.scope())).isFalse();
