--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -137,7 +137,7 @@
      * @param entries The listed objects by name.
      */
     private void apply(Map<String, StoredEntry> entries) {
-        long expiredBefore = clock.millis() - Quarantine.HELD_MILLIS;
+        long expiredBefore = clock.millis() - Quarantine.QUARANTINE_MILLIS;
         Map<Fingerprint, QuarantinedRequest> held = new HashMap<>();
         for (StoredEntry each : entries.values()) {
             Optional<QuarantinedRequest> request = QuarantinedRequestJson.read(each);
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -22,7 +22,7 @@
      * The time for which a request is quarantined, in milliseconds. Afterwards it can crash three
      * more targets, so operators need time to fix or replace what it crashes.
      */
-    public static final long HELD_MILLIS = 3_600_000;
+    public static final long QUARANTINE_MILLIS = 3_600_000;
 
     /**
      * The most requests tracked. A crash of a sixth of 62 engines that run 48 requests each leaves
@@ -314,7 +314,7 @@
             if (age < SUSPICION_TTL_MILLIS) {
                 return;
             }
-            if (!held.contains(each.getKey()) || age >= HELD_MILLIS) {
+            if (!held.contains(each.getKey()) || age >= QUARANTINE_MILLIS) {
                 all.remove();
                 removeFromIndexes(each.getKey());
             }
--- a/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -25,7 +25,7 @@
 
 class QuarantinedRequestStoreTest {
 
-    private static final long NOW_MILLIS = 2 * Quarantine.HELD_MILLIS;
+    private static final long NOW_MILLIS = 2 * Quarantine.QUARANTINE_MILLIS;
 
     private static final Fingerprint HARMFUL = new Fingerprint(1, 2);
 
@@ -91,7 +91,7 @@
 
     @Test
     void testRequestWithExpiredQuarantineIsRemoved() {
-        requests.hold(request(NOW_MILLIS - Quarantine.HELD_MILLIS - 1));
+        requests.hold(request(NOW_MILLIS - Quarantine.QUARANTINE_MILLIS - 1));
         start();
         assertThat(listener.requests).isEmpty();
         assertThat(store.objects).isEmpty();
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -140,9 +140,9 @@
     @Test
     void testQuarantineExpires() {
         quarantine.hold(HARMFUL, 0);
-        quarantine.decide(Quarantine.HELD_MILLIS - 1);
+        quarantine.decide(Quarantine.QUARANTINE_MILLIS - 1);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
-        quarantine.decide(Quarantine.HELD_MILLIS);
+        quarantine.decide(Quarantine.QUARANTINE_MILLIS);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         assertThat(quarantine.tracksScope(HARMFUL.scope())).isFalse();
     }
