--- a/src/main/java/org/martenwell/directory/PollInterval.java
+++ b/src/main/java/org/martenwell/directory/PollInterval.java
@@ -22,7 +22,7 @@
      * Interval for quarantined requests. Peers report new ones within a second; lists serve
      * gateways that have just started, and removals by an operator.
      */
-    static final PollInterval HELD_REQUESTS = new PollInterval(15_000, 0, 1);
+    static final PollInterval QUARANTINED_REQUESTS = new PollInterval(15_000, 0, 1);
 
     /**
      * Returns the interval for a number of objects.
--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -68,7 +68,7 @@
         this.poller =
                 new KindPoller(
                         new KindSource(reactor, store, kind, random),
-                        PollInterval.HELD_REQUESTS,
+                        PollInterval.QUARANTINED_REQUESTS,
                         this::apply);
     }
 
