--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -239,7 +239,7 @@
         if (now >= nextRepeatMillis) {
             nextRepeatMillis =
                     now + Math.round(FLEET_REPEAT_MILLIS * members * 2 * random.nextDouble());
-            updates.addAll(quarantine.heldUpdates());
+            updates.addAll(quarantine.quarantinedRequestUpdates());
         }
         return updates;
     }
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -228,7 +228,7 @@
                         crashes.add(QuarantineUpdate.crash(fingerprint, each));
                     }
                 });
-        List<QuarantineUpdate> snapshot = new ArrayList<>(heldUpdates());
+        List<QuarantineUpdate> snapshot = new ArrayList<>(quarantinedRequestUpdates());
         snapshot.addAll(
                 crashes.subList(
                         Math.max(0, crashes.size() - MAX_SNAPSHOT_CRASHES), crashes.size()));
@@ -236,7 +236,7 @@
     }
 
     /** {@return an update for each quarantined request} */
-    public List<QuarantineUpdate> heldUpdates() {
+    public List<QuarantineUpdate> quarantinedRequestUpdates() {
         return held.stream().map(QuarantineUpdate::held).toList();
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -308,7 +308,7 @@
         gateways.get(gateway).decide(now);
         List<QuarantineUpdate> updates = new ArrayList<>(gateways.get(gateway).takeUpdates(now));
         if (random.nextDouble() * load.gateways() * 1_000 < load.reportMillis()) {
-            updates.addAll(gateways.get(gateway).heldUpdates());
+            updates.addAll(gateways.get(gateway).quarantinedRequestUpdates());
         }
         for (int peer = 0; peer < load.gateways() && !updates.isEmpty(); peer++) {
             send(gateway, peer, updates);
