--- a/src/main/java/org/martenwell/directory/FleetDirectory.java
+++ b/src/main/java/org/martenwell/directory/FleetDirectory.java
@@ -37,7 +37,7 @@
      *
      * @param request The request.
      */
-    void hold(QuarantinedRequest request);
+    void quarantine(QuarantinedRequest request);
 
     /**
      * Removes a quarantined request after it was served successfully.
--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -89,7 +89,7 @@
      *
      * @param request The request.
      */
-    void hold(QuarantinedRequest request) {
+    void quarantine(QuarantinedRequest request) {
         if (unwritten.add(request.fingerprint())) {
             write(request);
         }
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -169,8 +169,8 @@
     }
 
     @Override
-    public void hold(QuarantinedRequest request) {
-        heldRequests.hold(request);
+    public void quarantine(QuarantinedRequest request) {
+        heldRequests.quarantine(request);
     }
 
     @Override
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -220,7 +220,7 @@
         }
         stored = Set.copyOf(entries.keySet());
         for (Fingerprint each : stored) {
-            if (quarantine.hold(each, now)) {
+            if (quarantine.quarantine(each, now)) {
                 quarantined(each, "directory");
             }
         }
@@ -286,7 +286,7 @@
                             quarantine.crashedIncarnations(fingerprint),
                             gateway,
                             clock.millis());
-            directory.ifPresent(each -> each.hold(entry));
+            directory.ifPresent(each -> each.quarantine(entry));
         }
     }
 }
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -110,7 +110,7 @@
                 clearSuspicion(fingerprint, now);
                 yield false;
             }
-            case QUARANTINED -> hold(fingerprint, now);
+            case QUARANTINED -> quarantine(fingerprint, now);
         };
     }
 
@@ -121,12 +121,12 @@
      * @param now The current time, in milliseconds.
      * @return {@code true} if this call quarantined the request.
      */
-    public boolean hold(Fingerprint fingerprint, long now) {
+    public boolean quarantine(Fingerprint fingerprint, long now) {
         if (held.contains(fingerprint)) {
             return false;
         }
         Suspicion suspicion = markChanged(fingerprint, now);
-        suspicion.hold(now);
+        suspicion.quarantine(now);
         updateStateSets(fingerprint, suspicion.state());
         return held.contains(fingerprint);
     }
--- a/src/main/java/org/martenwell/quarantine/Suspicion.java
+++ b/src/main/java/org/martenwell/quarantine/Suspicion.java
@@ -51,7 +51,7 @@
     /** The time before which crashes are ignored, in milliseconds. */
     private long ignoreCrashesUntil = Long.MIN_VALUE;
 
-    /** The time before which {@link #hold} is ignored, in milliseconds. */
+    /** The time before which {@link #quarantine} is ignored, in milliseconds. */
     private long ignoreHoldsUntil = Long.MIN_VALUE;
 
     /** The time from which an undecided request can be decided, in milliseconds. */
@@ -137,7 +137,7 @@
      *
      * @param now The current time, in milliseconds.
      */
-    void hold(long now) {
+    void quarantine(long now) {
         if (now >= ignoreHoldsUntil) {
             state = QuarantineState.QUARANTINED;
             changedMillis = now;
--- a/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -50,7 +50,7 @@
     @Test
     void testWrittenRequestIsRead() {
         QuarantinedRequest request = request(NOW_MILLIS);
-        requests.hold(request);
+        requests.quarantine(request);
         start();
         assertThat(listener.requests).containsExactly(Map.entry(HARMFUL, request));
     }
@@ -58,7 +58,7 @@
     @Test
     void testFailedWriteIsRetriedUntilItSucceeds() {
         store.failures = 2;
-        requests.hold(request(NOW_MILLIS));
+        requests.quarantine(request(NOW_MILLIS));
         assertThat(store.objects).isEmpty();
         advance(1_000);
         assertThat(store.objects).isEmpty();
@@ -69,7 +69,7 @@
     @Test
     void testReleasedRequestIsNotRetried() {
         store.failures = 1;
-        requests.hold(request(NOW_MILLIS));
+        requests.quarantine(request(NOW_MILLIS));
         requests.release(HARMFUL);
         advance(2_000);
         assertThat(store.objects).isEmpty();
@@ -78,7 +78,7 @@
     /** One malformed object must not prevent the others from being read. */
     @Test
     void testMalformedObjectsAreReportedAndIgnored() {
-        requests.hold(request(NOW_MILLIS));
+        requests.quarantine(request(NOW_MILLIS));
         store.objects.put("no fingerprint", QuarantinedRequestJson.write(request(NOW_MILLIS)));
         store.objects.put(
                 new Fingerprint(3, 4).toString(),
@@ -91,7 +91,7 @@
 
     @Test
     void testRequestWithExpiredQuarantineIsRemoved() {
-        requests.hold(request(NOW_MILLIS - Quarantine.QUARANTINE_MILLIS - 1));
+        requests.quarantine(request(NOW_MILLIS - Quarantine.QUARANTINE_MILLIS - 1));
         start();
         assertThat(listener.requests).isEmpty();
         assertThat(store.objects).isEmpty();
--- a/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
+++ b/src/test/java/org/martenwell/gateway/LargeFleetReportsTest.java
@@ -154,7 +154,7 @@
         public void removeMember(String name) {}
 
         @Override
-        public void hold(QuarantinedRequest request) {}
+        public void quarantine(QuarantinedRequest request) {}
 
         @Override
         public void release(Fingerprint fingerprint) {}
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -89,7 +89,7 @@
 
     @Test
     void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
-        quarantine.hold(HARMFUL, 0);
+        quarantine.quarantine(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
         assertThat(quarantine.applyUpdate(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
@@ -98,7 +98,7 @@
 
     @Test
     void testSnapshotHoldsQuarantinedRequestsAndCrashes() {
-        quarantine.hold(OTHER, 0);
+        quarantine.quarantine(OTHER, 0);
         quarantine.recordCrash(HARMFUL, "a", 0);
         assertThat(quarantine.snapshot())
                 .containsExactlyInAnyOrder(
@@ -129,7 +129,7 @@
 
     @Test
     void testFreeRequestsAreEvictedBeforeQuarantinedOnes() {
-        quarantine.hold(HARMFUL, 0);
+        quarantine.quarantine(HARMFUL, 0);
         for (int other = 0; other < 10_000; other++) {
             quarantine.recordCrash(new Fingerprint(5, other), "a", 1);
         }
@@ -139,7 +139,7 @@
 
     @Test
     void testQuarantineExpires() {
-        quarantine.hold(HARMFUL, 0);
+        quarantine.quarantine(HARMFUL, 0);
         quarantine.decide(Quarantine.QUARANTINE_MILLIS - 1);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
         quarantine.decide(Quarantine.QUARANTINE_MILLIS);
