--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -84,7 +84,7 @@
         this.clock = clock;
         this.random = random;
         this.crashDetector = new TargetCrashDetector(reactor, this::crashed);
-        log.metrics().registerGauge("requests_held_back", quarantine::held);
+        log.metrics().registerGauge("requests_held_back", quarantine::quarantinedCount);
         log.metrics().registerGauge("targets_ended_under_requests", quarantine::crashCount);
     }
 
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -178,7 +178,7 @@
     }
 
     /** {@return the number of quarantined requests} */
-    public int held() {
+    public int quarantinedCount() {
         return held.size();
     }
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -163,6 +163,6 @@
             now += 400;
         }
         assertThat(fresh.decide(now + AFTER_CLEARING_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
-        assertThat(fresh.held()).isEqualTo(crashes >= 3 ? 1 : 0);
+        assertThat(fresh.quarantinedCount()).isEqualTo(crashes >= 3 ? 1 : 0);
     }
 }
