--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -138,7 +138,7 @@
      */
     private void apply(Map<String, StoredEntry> entries) {
         long expiredBefore = clock.millis() - Quarantine.QUARANTINE_MILLIS;
-        Map<Fingerprint, QuarantinedRequest> held = new HashMap<>();
+        Map<Fingerprint, QuarantinedRequest> quarantined = new HashMap<>();
         for (StoredEntry each : entries.values()) {
             Optional<QuarantinedRequest> request = QuarantinedRequestJson.read(each);
             if (request.isEmpty()) {
@@ -147,10 +147,10 @@
             } else if (request.get().sinceMillis() < expiredBefore) {
                 remove(each.name(), Optional.of(each.revision()));
             } else {
-                held.put(request.get().fingerprint(), request.get());
+                quarantined.put(request.get().fingerprint(), request.get());
             }
         }
-        listener.heldRequestsChanged(held);
+        listener.heldRequestsChanged(quarantined);
     }
 
     private static void logFailure(String event, Object name, Exception failure) {
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -49,7 +49,7 @@
     private final Set<Fingerprint> undecided = new HashSet<>();
 
     /** The requests in the state {@link QuarantineState#QUARANTINED}. */
-    private final Set<Fingerprint> held = new HashSet<>();
+    private final Set<Fingerprint> quarantined = new HashSet<>();
 
     /** The updates to send to peers. */
     private final UpdateQueue updates = new UpdateQueue();
@@ -83,7 +83,7 @@
      * @return {@code true} if the request was quarantined.
      */
     public boolean clear(Fingerprint fingerprint, long now) {
-        boolean wasHeld = held.contains(fingerprint);
+        boolean wasHeld = quarantined.contains(fingerprint);
         Suspicion suspicion = suspicions.get(fingerprint);
         if (suspicion != null && suspicion.isSuspected()) {
             clearSuspicion(fingerprint, now);
@@ -122,13 +122,13 @@
      * @return {@code true} if this call quarantined the request.
      */
     public boolean quarantine(Fingerprint fingerprint, long now) {
-        if (held.contains(fingerprint)) {
+        if (quarantined.contains(fingerprint)) {
             return false;
         }
         Suspicion suspicion = markChanged(fingerprint, now);
         suspicion.quarantine(now);
         updateStateSets(fingerprint, suspicion.state());
-        return held.contains(fingerprint);
+        return quarantined.contains(fingerprint);
     }
 
     /**
@@ -144,7 +144,7 @@
             Suspicion suspicion = suspicions.get(each);
             suspicion.decide(now);
             updateStateSets(each, suspicion.state());
-            if (held.contains(each)) {
+            if (quarantined.contains(each)) {
                 decided.add(each);
             }
         }
@@ -163,7 +163,7 @@
 
     /** {@return {@code true} if no request is quarantined or undecided, so that all may be sent} */
     public boolean blocksNothing() {
-        return held.isEmpty() && undecided.isEmpty();
+        return quarantined.isEmpty() && undecided.isEmpty();
     }
 
     /**
@@ -179,7 +179,7 @@
 
     /** {@return the number of quarantined requests} */
     public int quarantinedCount() {
-        return held.size();
+        return quarantined.size();
     }
 
     /** {@return the number of tracked requests, including those cleared recently} */
@@ -237,7 +237,7 @@
 
     /** {@return an update for each quarantined request} */
     public List<QuarantineUpdate> quarantinedRequestUpdates() {
-        return held.stream().map(QuarantineUpdate::held).toList();
+        return quarantined.stream().map(QuarantineUpdate::quarantined).toList();
     }
 
     /**
@@ -263,11 +263,11 @@
 
     private void updateStateSets(Fingerprint fingerprint, QuarantineState state) {
         undecided.remove(fingerprint);
-        held.remove(fingerprint);
+        quarantined.remove(fingerprint);
         if (state == QuarantineState.UNDECIDED) {
             undecided.add(fingerprint);
         } else if (state == QuarantineState.QUARANTINED) {
-            held.add(fingerprint);
+            quarantined.add(fingerprint);
         }
     }
 
@@ -314,7 +314,7 @@
             if (age < SUSPICION_TTL_MILLIS) {
                 return;
             }
-            if (!held.contains(each.getKey()) || age >= QUARANTINE_MILLIS) {
+            if (!quarantined.contains(each.getKey()) || age >= QUARANTINE_MILLIS) {
                 all.remove();
                 removeFromIndexes(each.getKey());
             }
--- a/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
+++ b/src/main/java/org/martenwell/quarantine/QuarantineUpdate.java
@@ -39,7 +39,7 @@
      * @param fingerprint The request.
      * @return The update.
      */
-    public static QuarantineUpdate held(Fingerprint fingerprint) {
+    public static QuarantineUpdate quarantined(Fingerprint fingerprint) {
         return new QuarantineUpdate(fingerprint, QuarantineUpdateKind.QUARANTINED, "");
     }
 }
--- a/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -183,8 +183,8 @@
         public void membersChanged(Map<String, GatewayMember> members) {}
 
         @Override
-        public void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> held) {
-            requests = held;
+        public void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> quarantined) {
+            requests = quarantined;
         }
     }
 }
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -170,15 +170,15 @@
             long third = each.size() > 2 ? each.get(2) : END_MILLIS;
             late = Math.max(late, (int) each.stream().filter(time -> time > third + 3_000).count());
         }
-        int held = 0;
+        int quarantined = 0;
         for (int request = 0; request < HARMLESS_REQUESTS; request++) {
             Fingerprint fingerprint = fingerprint(request);
             boolean heldAnywhere =
                     gateways.stream()
                             .anyMatch(each -> each.state(fingerprint) == QuarantineState.QUARANTINED);
-            held += heldAnywhere ? 1 : 0;
+            quarantined += heldAnywhere ? 1 : 0;
         }
-        return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, held);
+        return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, quarantined);
     }
 
     private void schedule(long time, Runnable action) {
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -91,7 +91,7 @@
     void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
         quarantine.quarantine(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
-        assertThat(quarantine.applyUpdate(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
+        assertThat(quarantine.applyUpdate(QuarantineUpdate.quarantined(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
     }
@@ -102,7 +102,7 @@
         quarantine.recordCrash(HARMFUL, "a", 0);
         assertThat(quarantine.snapshot())
                 .containsExactlyInAnyOrder(
-                        QuarantineUpdate.held(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
+                        QuarantineUpdate.quarantined(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
     }
 
     /** Guards against an update for every completion of a request that was suspected once. */
