--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -83,13 +83,13 @@
      * @return {@code true} if the request was quarantined.
      */
     public boolean clear(Fingerprint fingerprint, long now) {
-        boolean wasHeld = quarantined.contains(fingerprint);
+        boolean wasQuarantined = quarantined.contains(fingerprint);
         Suspicion suspicion = suspicions.get(fingerprint);
         if (suspicion != null && suspicion.isSuspected()) {
             clearSuspicion(fingerprint, now);
             updates.add(QuarantineUpdate.cleared(fingerprint), now);
         }
-        return wasHeld;
+        return wasQuarantined;
     }
 
     /**
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -77,7 +77,7 @@
      * @param harmless The number of harmless requests that arrived.
      * @param longestRefusalMillis The longest time for which a gateway refused a harmless request,
      *     in milliseconds.
-     * @param harmlessHeld The number of harmless requests that are quarantined at the end.
+     * @param harmlessQuarantined The number of harmless requests that are quarantined at the end.
      */
     record Outcome(
             int mostCrashes,
@@ -86,7 +86,7 @@
             int refused,
             int harmless,
             long longestRefusalMillis,
-            int harmlessHeld) {}
+            int harmlessQuarantined) {}
 
     /** An action at a simulated time; events at the same time run in the order of creation. */
     private record Event(long at, long order, Runnable action) {}
@@ -173,10 +173,10 @@
         int quarantined = 0;
         for (int request = 0; request < HARMLESS_REQUESTS; request++) {
             Fingerprint fingerprint = fingerprint(request);
-            boolean heldAnywhere =
+            boolean quarantinedAnywhere =
                     gateways.stream()
                             .anyMatch(each -> each.state(fingerprint) == QuarantineState.QUARANTINED);
-            quarantined += heldAnywhere ? 1 : 0;
+            quarantined += quarantinedAnywhere ? 1 : 0;
         }
         return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, quarantined);
     }
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulationTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulationTest.java
@@ -37,7 +37,7 @@
                                 gateways, targets, harmful, requestsPerSecond, seed));
         assertThat(outcome.mostCrashes()).isLessThanOrEqualTo(MAX_CRASHES);
         assertThat(outcome.lateCrashes()).isZero();
-        assertThat(outcome.harmlessHeld()).isZero();
+        assertThat(outcome.harmlessQuarantined()).isZero();
         assertThat(outcome.refused()).isLessThanOrEqualTo(outcome.harmless() / 1_000);
         assertThat(outcome.longestRefusalMillis()).isLessThanOrEqualTo(MAX_REFUSED_MILLIS);
     }
