--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -58,7 +58,7 @@
 
     private final KindPoller gateways;
 
-    private final QuarantinedRequestStore heldRequests;
+    private final QuarantinedRequestStore quarantinedRequests;
 
     /** The version of the active configuration. */
     private long version;
@@ -114,7 +114,7 @@
                         new KindSource(reactor, store, reader.gatewayKind(), random),
                         PollInterval.GATEWAYS,
                         this::applyGateways);
-        this.heldRequests =
+        this.quarantinedRequests =
                 new QuarantinedRequestStore(
                         reactor,
                         store,
@@ -131,7 +131,7 @@
                 .start()
                 .then(targets::start)
                 .then(gateways::start)
-                .then(heldRequests::start);
+                .then(quarantinedRequests::start);
     }
 
     @Override
@@ -140,7 +140,7 @@
                 .stop()
                 .then(targets::stop)
                 .then(gateways::stop)
-                .then(heldRequests::stop)
+                .then(quarantinedRequests::stop)
                 .whenResult(store::close);
     }
 
@@ -170,12 +170,12 @@
 
     @Override
     public void quarantine(QuarantinedRequest request) {
-        heldRequests.quarantine(request);
+        quarantinedRequests.quarantine(request);
     }
 
     @Override
     public void release(Fingerprint fingerprint) {
-        heldRequests.release(fingerprint);
+        quarantinedRequests.release(fingerprint);
     }
 
     @Override
