--- a/src/main/java/org/martenwell/directory/DirectoryListener.java
+++ b/src/main/java/org/martenwell/directory/DirectoryListener.java
@@ -44,5 +44,5 @@
      *
      * @param requests All quarantined requests by fingerprint.
      */
-    void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> requests);
+    void quarantinedRequestsChanged(Map<Fingerprint, QuarantinedRequest> requests);
 }
--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -150,7 +150,7 @@
                 quarantined.put(request.get().fingerprint(), request.get());
             }
         }
-        listener.heldRequestsChanged(quarantined);
+        listener.quarantinedRequestsChanged(quarantined);
     }
 
     private static void logFailure(String event, Object name, Exception failure) {
--- a/src/main/java/org/martenwell/gateway/GatewayDaemon.java
+++ b/src/main/java/org/martenwell/gateway/GatewayDaemon.java
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> requests) {
+    public void quarantinedRequestsChanged(Map<Fingerprint, QuarantinedRequest> requests) {
         core.harmful().applyStored(requests);
     }
 
--- a/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -183,7 +183,7 @@
         public void membersChanged(Map<String, GatewayMember> members) {}
 
         @Override
-        public void heldRequestsChanged(Map<Fingerprint, QuarantinedRequest> quarantined) {
+        public void quarantinedRequestsChanged(Map<Fingerprint, QuarantinedRequest> quarantined) {
             requests = quarantined;
         }
     }
