--- a/src/main/java/org/martenwell/directory/EntryReader.java
+++ b/src/main/java/org/martenwell/directory/EntryReader.java
@@ -22,7 +22,7 @@
     String gatewayKind();
 
     /** {@return the kind of quarantined-request objects, which gateways write themselves} */
-    String heldRequestKind();
+    String quarantinedRequestKind();
 
     /**
      * Parses a configuration.
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -118,7 +118,7 @@
                 new QuarantinedRequestStore(
                         reactor,
                         store,
-                        reader.heldRequestKind(),
+                        reader.quarantinedRequestKind(),
                         random,
                         listener,
                         Clock.systemUTC());
