--- a/src/main/java/org/martenwell/message/package-info.java
+++ b/src/main/java/org/martenwell/message/package-info.java
@@ -1,2 +1,2 @@
-/** Base type of the messages that routers exchange. */
+/** Base type of the messages that peers, which are routers or gateways, exchange. */
 package org.martenwell.message;
