--- a/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -13,8 +13,8 @@
 import org.apache.logging.log4j.Logger;
 import org.martenwell.observe.LogEvent;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.Quarantine;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.service.ManagedService;
 
 /** Stores quarantined requests and reports those that other gateways have stored. */
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -13,9 +13,9 @@
 import org.martenwell.directory.FleetDirectory;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.Quarantine;
 import org.martenwell.quarantine.QuarantineUpdate;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.RequestSummary;
 
 /**
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -115,7 +115,7 @@
     }
 
     /**
-     * Quarantines a request that a peer or the directory holds, unless it was cleared recently.
+     * Quarantines a request that a peer or the directory reports, unless it was cleared recently.
      *
      * @param fingerprint The request.
      * @param now The current time, in milliseconds.
--- a/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -18,8 +18,8 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.Quarantine;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.RequestSummary;
 import org.martenwell.route.GatewayConfiguration;
 
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -175,7 +175,8 @@
             Fingerprint fingerprint = fingerprint(request);
             boolean quarantinedAnywhere =
                     gateways.stream()
-                            .anyMatch(each -> each.state(fingerprint) == QuarantineState.QUARANTINED);
+                            .anyMatch(
+                                    each -> each.state(fingerprint) == QuarantineState.QUARANTINED);
             quarantined += quarantinedAnywhere ? 1 : 0;
         }
         return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, quarantined);
