--- a/src/main/java/org/martenwell/directory/HeldRequestStore.java
+++ b/src/main/java/org/martenwell/directory/QuarantinedRequestStore.java
@@ -13,14 +13,14 @@
 import org.apache.logging.log4j.Logger;
 import org.martenwell.observe.LogEvent;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.quarantine.Quarantine;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.service.ManagedService;
 
 /** Stores quarantined requests and reports those that other gateways have stored. */
-final class HeldRequestStore implements ManagedService {
+final class QuarantinedRequestStore implements ManagedService {
 
-    private static final Logger LOGGER = LogManager.getLogger(HeldRequestStore.class);
+    private static final Logger LOGGER = LogManager.getLogger(QuarantinedRequestStore.class);
 
     /** The delay before a failed write is retried, in milliseconds. */
     private static final long RETRY_MILLIS = 1_000;
@@ -53,7 +53,7 @@
      * @param listener Receives the quarantined requests.
      * @param clock The wall clock.
      */
-    HeldRequestStore(
+    QuarantinedRequestStore(
             NioReactor reactor,
             ObjectStore store,
             String kind,
@@ -68,7 +68,7 @@
         this.poller =
                 new KindPoller(
                         new KindSource(reactor, store, kind, random),
-                        PollInterval.HELD_REQUESTS,
+                        PollInterval.QUARANTINED_REQUESTS,
                         this::apply);
     }
 
@@ -89,7 +89,7 @@
      *
      * @param request The request.
      */
-    void hold(HeldRequest request) {
+    void quarantine(QuarantinedRequest request) {
         if (unwritten.add(request.fingerprint())) {
             write(request);
         }
@@ -105,11 +105,11 @@
         remove(fingerprint.toString(), Optional.empty());
     }
 
-    private void write(HeldRequest request) {
+    private void write(QuarantinedRequest request) {
         if (stopped || !unwritten.contains(request.fingerprint())) {
             return;
         }
-        store.create(kind, request.fingerprint().toString(), HeldRequestJson.write(request))
+        store.create(kind, request.fingerprint().toString(), QuarantinedRequestJson.write(request))
                 .whenResult(() -> unwritten.remove(request.fingerprint()))
                 .whenException(
                         failure -> {
@@ -137,20 +137,20 @@
      * @param entries The listed objects by name.
      */
     private void apply(Map<String, StoredEntry> entries) {
-        long expiredBefore = clock.millis() - Quarantine.HELD_MILLIS;
-        Map<Fingerprint, HeldRequest> held = new HashMap<>();
+        long expiredBefore = clock.millis() - Quarantine.QUARANTINE_MILLIS;
+        Map<Fingerprint, QuarantinedRequest> quarantined = new HashMap<>();
         for (StoredEntry each : entries.values()) {
-            Optional<HeldRequest> request = HeldRequestJson.read(each);
+            Optional<QuarantinedRequest> request = QuarantinedRequestJson.read(each);
             if (request.isEmpty()) {
                 listener.entryUnreadable(
                         each.name(), "The object is not a valid quarantined request.");
             } else if (request.get().sinceMillis() < expiredBefore) {
                 remove(each.name(), Optional.of(each.revision()));
             } else {
-                held.put(request.get().fingerprint(), request.get());
+                quarantined.put(request.get().fingerprint(), request.get());
             }
         }
-        listener.heldRequestsChanged(held);
+        listener.quarantinedRequestsChanged(quarantined);
     }
 
     private static void logFailure(String event, Object name, Exception failure) {
--- a/src/main/java/org/martenwell/directory/StoreDirectory.java
+++ b/src/main/java/org/martenwell/directory/StoreDirectory.java
@@ -17,7 +17,7 @@
 import org.martenwell.json.Json;
 import org.martenwell.observe.LogEvent;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.route.GatewayConfiguration;
 
 /**
@@ -58,7 +58,7 @@
 
     private final KindPoller gateways;
 
-    private final HeldRequestStore heldRequests;
+    private final QuarantinedRequestStore quarantinedRequests;
 
     /** The version of the active configuration. */
     private long version;
@@ -114,11 +114,11 @@
                         new KindSource(reactor, store, reader.gatewayKind(), random),
                         PollInterval.GATEWAYS,
                         this::applyGateways);
-        this.heldRequests =
-                new HeldRequestStore(
+        this.quarantinedRequests =
+                new QuarantinedRequestStore(
                         reactor,
                         store,
-                        reader.heldRequestKind(),
+                        reader.quarantinedRequestKind(),
                         random,
                         listener,
                         Clock.systemUTC());
@@ -131,7 +131,7 @@
                 .start()
                 .then(targets::start)
                 .then(gateways::start)
-                .then(heldRequests::start);
+                .then(quarantinedRequests::start);
     }
 
     @Override
@@ -140,7 +140,7 @@
                 .stop()
                 .then(targets::stop)
                 .then(gateways::stop)
-                .then(heldRequests::stop)
+                .then(quarantinedRequests::stop)
                 .whenResult(store::close);
     }
 
@@ -169,13 +169,13 @@
     }
 
     @Override
-    public void hold(HeldRequest request) {
-        heldRequests.hold(request);
+    public void quarantine(QuarantinedRequest request) {
+        quarantinedRequests.quarantine(request);
     }
 
     @Override
     public void release(Fingerprint fingerprint) {
-        heldRequests.release(fingerprint);
+        quarantinedRequests.release(fingerprint);
     }
 
     @Override
--- a/src/main/java/org/martenwell/gateway/HarmfulRequests.java
+++ b/src/main/java/org/martenwell/gateway/HarmfulRequests.java
@@ -13,9 +13,9 @@
 import org.martenwell.directory.FleetDirectory;
 import org.martenwell.error.ErrorKind;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.quarantine.Quarantine;
 import org.martenwell.quarantine.QuarantineUpdate;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.RequestSummary;
 
 /**
@@ -84,7 +84,7 @@
         this.clock = clock;
         this.random = random;
         this.crashDetector = new TargetCrashDetector(reactor, this::crashed);
-        log.metrics().registerGauge("requests_held_back", quarantine::held);
+        log.metrics().registerGauge("requests_held_back", quarantine::quarantinedCount);
         log.metrics().registerGauge("targets_ended_under_requests", quarantine::crashCount);
     }
 
@@ -210,7 +210,7 @@
      *
      * @param entries All quarantined requests in the directory.
      */
-    void applyStored(Map<Fingerprint, HeldRequest> entries) {
+    void applyStored(Map<Fingerprint, QuarantinedRequest> entries) {
         long now = reactor.currentTimeMillis();
         for (Fingerprint each : stored) {
             if (!entries.containsKey(each)) {
@@ -220,7 +220,7 @@
         }
         stored = Set.copyOf(entries.keySet());
         for (Fingerprint each : stored) {
-            if (quarantine.hold(each, now)) {
+            if (quarantine.quarantine(each, now)) {
                 quarantined(each, "directory");
             }
         }
@@ -239,7 +239,7 @@
         if (now >= nextRepeatMillis) {
             nextRepeatMillis =
                     now + Math.round(FLEET_REPEAT_MILLIS * members * 2 * random.nextDouble());
-            updates.addAll(quarantine.heldUpdates());
+            updates.addAll(quarantine.quarantinedRequestUpdates());
         }
         return updates;
     }
@@ -279,14 +279,14 @@
         }
         RequestSummary summary = summaries.get(fingerprint);
         if (summary != null && !stored.contains(fingerprint)) {
-            HeldRequest entry =
-                    new HeldRequest(
+            QuarantinedRequest entry =
+                    new QuarantinedRequest(
                             fingerprint,
                             summary,
                             quarantine.crashedIncarnations(fingerprint),
                             gateway,
                             clock.millis());
-            directory.ifPresent(each -> each.hold(entry));
+            directory.ifPresent(each -> each.quarantine(entry));
         }
     }
 }
--- a/src/main/java/org/martenwell/quarantine/Quarantine.java
+++ b/src/main/java/org/martenwell/quarantine/Quarantine.java
@@ -22,7 +22,7 @@
      * The time for which a request is quarantined, in milliseconds. Afterwards it can crash three
      * more targets, so operators need time to fix or replace what it crashes.
      */
-    public static final long HELD_MILLIS = 3_600_000;
+    public static final long QUARANTINE_MILLIS = 3_600_000;
 
     /**
      * The most requests tracked. A crash of a sixth of 62 engines that run 48 requests each leaves
@@ -48,8 +48,8 @@
     /** The requests in the state {@link QuarantineState#UNDECIDED}. */
     private final Set<Fingerprint> undecided = new HashSet<>();
 
-    /** The requests in the state {@link QuarantineState#HELD}. */
-    private final Set<Fingerprint> held = new HashSet<>();
+    /** The requests in the state {@link QuarantineState#QUARANTINED}. */
+    private final Set<Fingerprint> quarantined = new HashSet<>();
 
     /** The updates to send to peers. */
     private final UpdateQueue updates = new UpdateQueue();
@@ -83,13 +83,13 @@
      * @return {@code true} if the request was quarantined.
      */
     public boolean clear(Fingerprint fingerprint, long now) {
-        boolean wasHeld = held.contains(fingerprint);
+        boolean wasQuarantined = quarantined.contains(fingerprint);
         Suspicion suspicion = suspicions.get(fingerprint);
         if (suspicion != null && suspicion.isSuspected()) {
             clearSuspicion(fingerprint, now);
             updates.add(QuarantineUpdate.cleared(fingerprint), now);
         }
-        return wasHeld;
+        return wasQuarantined;
     }
 
     /**
@@ -110,25 +110,25 @@
                 clearSuspicion(fingerprint, now);
                 yield false;
             }
-            case HELD -> hold(fingerprint, now);
+            case QUARANTINED -> quarantine(fingerprint, now);
         };
     }
 
     /**
-     * Quarantines a request that a peer or the directory holds, unless it was cleared recently.
+     * Quarantines a request that a peer or the directory reports, unless it was cleared recently.
      *
      * @param fingerprint The request.
      * @param now The current time, in milliseconds.
      * @return {@code true} if this call quarantined the request.
      */
-    public boolean hold(Fingerprint fingerprint, long now) {
-        if (held.contains(fingerprint)) {
+    public boolean quarantine(Fingerprint fingerprint, long now) {
+        if (quarantined.contains(fingerprint)) {
             return false;
         }
         Suspicion suspicion = markChanged(fingerprint, now);
-        suspicion.hold(now);
+        suspicion.quarantine(now);
         updateStateSets(fingerprint, suspicion.state());
-        return held.contains(fingerprint);
+        return quarantined.contains(fingerprint);
     }
 
     /**
@@ -144,7 +144,7 @@
             Suspicion suspicion = suspicions.get(each);
             suspicion.decide(now);
             updateStateSets(each, suspicion.state());
-            if (held.contains(each)) {
+            if (quarantined.contains(each)) {
                 decided.add(each);
             }
         }
@@ -163,7 +163,7 @@
 
     /** {@return {@code true} if no request is quarantined or undecided, so that all may be sent} */
     public boolean blocksNothing() {
-        return held.isEmpty() && undecided.isEmpty();
+        return quarantined.isEmpty() && undecided.isEmpty();
     }
 
     /**
@@ -178,8 +178,8 @@
     }
 
     /** {@return the number of quarantined requests} */
-    public int held() {
-        return held.size();
+    public int quarantinedCount() {
+        return quarantined.size();
     }
 
     /** {@return the number of tracked requests, including those cleared recently} */
@@ -228,7 +228,7 @@
                         crashes.add(QuarantineUpdate.crash(fingerprint, each));
                     }
                 });
-        List<QuarantineUpdate> snapshot = new ArrayList<>(heldUpdates());
+        List<QuarantineUpdate> snapshot = new ArrayList<>(quarantinedRequestUpdates());
         snapshot.addAll(
                 crashes.subList(
                         Math.max(0, crashes.size() - MAX_SNAPSHOT_CRASHES), crashes.size()));
@@ -236,8 +236,8 @@
     }
 
     /** {@return an update for each quarantined request} */
-    public List<QuarantineUpdate> heldUpdates() {
-        return held.stream().map(QuarantineUpdate::held).toList();
+    public List<QuarantineUpdate> quarantinedRequestUpdates() {
+        return quarantined.stream().map(QuarantineUpdate::quarantined).toList();
     }
 
     /**
@@ -263,11 +263,11 @@
 
     private void updateStateSets(Fingerprint fingerprint, QuarantineState state) {
         undecided.remove(fingerprint);
-        held.remove(fingerprint);
+        quarantined.remove(fingerprint);
         if (state == QuarantineState.UNDECIDED) {
             undecided.add(fingerprint);
-        } else if (state == QuarantineState.HELD) {
-            held.add(fingerprint);
+        } else if (state == QuarantineState.QUARANTINED) {
+            quarantined.add(fingerprint);
         }
     }
 
@@ -314,7 +314,7 @@
             if (age < SUSPICION_TTL_MILLIS) {
                 return;
             }
-            if (!held.contains(each.getKey()) || age >= HELD_MILLIS) {
+            if (!quarantined.contains(each.getKey()) || age >= QUARANTINE_MILLIS) {
                 all.remove();
                 removeFromIndexes(each.getKey());
             }
--- a/src/main/java/org/martenwell/quarantine/Suspicion.java
+++ b/src/main/java/org/martenwell/quarantine/Suspicion.java
@@ -51,7 +51,7 @@
     /** The time before which crashes are ignored, in milliseconds. */
     private long ignoreCrashesUntil = Long.MIN_VALUE;
 
-    /** The time before which {@link #hold} is ignored, in milliseconds. */
+    /** The time before which {@link #quarantine} is ignored, in milliseconds. */
     private long ignoreHoldsUntil = Long.MIN_VALUE;
 
     /** The time from which an undecided request can be decided, in milliseconds. */
@@ -105,7 +105,7 @@
         long first = crashes.values().stream().mapToLong(Long::longValue).min().orElse(now);
         long last = crashes.values().stream().mapToLong(Long::longValue).max().orElse(now);
         if (last - first >= MIN_CRASH_SPREAD_MILLIS) {
-            state = QuarantineState.HELD;
+            state = QuarantineState.QUARANTINED;
             changedMillis = now;
         } else {
             state = QuarantineState.FREE;
@@ -137,9 +137,9 @@
      *
      * @param now The current time, in milliseconds.
      */
-    void hold(long now) {
+    void quarantine(long now) {
         if (now >= ignoreHoldsUntil) {
-            state = QuarantineState.HELD;
+            state = QuarantineState.QUARANTINED;
             changedMillis = now;
         }
     }
--- a/src/test/java/org/martenwell/directory/HeldRequestStoreTest.java
+++ b/src/test/java/org/martenwell/directory/QuarantinedRequestStoreTest.java
@@ -18,14 +18,14 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.martenwell.quarantine.Fingerprint;
-import org.martenwell.quarantine.HeldRequest;
 import org.martenwell.quarantine.Quarantine;
+import org.martenwell.quarantine.QuarantinedRequest;
 import org.martenwell.quarantine.RequestSummary;
 import org.martenwell.route.GatewayConfiguration;
 
-class HeldRequestStoreTest {
+class QuarantinedRequestStoreTest {
 
-    private static final long NOW_MILLIS = 2 * Quarantine.HELD_MILLIS;
+    private static final long NOW_MILLIS = 2 * Quarantine.QUARANTINE_MILLIS;
 
     private static final Fingerprint HARMFUL = new Fingerprint(1, 2);
 
@@ -38,8 +38,8 @@
     private final Eventloop loop =
             Eventloop.builder().withTimeProvider(() -> nowMillis).withCurrentThread().build();
 
-    private final HeldRequestStore requests =
-            new HeldRequestStore(
+    private final QuarantinedRequestStore requests =
+            new QuarantinedRequestStore(
                     loop,
                     store,
                     "kind",
@@ -49,8 +49,8 @@
 
     @Test
     void testWrittenRequestIsRead() {
-        HeldRequest request = request(NOW_MILLIS);
-        requests.hold(request);
+        QuarantinedRequest request = request(NOW_MILLIS);
+        requests.quarantine(request);
         start();
         assertThat(listener.requests).containsExactly(Map.entry(HARMFUL, request));
     }
@@ -58,7 +58,7 @@
     @Test
     void testFailedWriteIsRetriedUntilItSucceeds() {
         store.failures = 2;
-        requests.hold(request(NOW_MILLIS));
+        requests.quarantine(request(NOW_MILLIS));
         assertThat(store.objects).isEmpty();
         advance(1_000);
         assertThat(store.objects).isEmpty();
@@ -69,7 +69,7 @@
     @Test
     void testReleasedRequestIsNotRetried() {
         store.failures = 1;
-        requests.hold(request(NOW_MILLIS));
+        requests.quarantine(request(NOW_MILLIS));
         requests.release(HARMFUL);
         advance(2_000);
         assertThat(store.objects).isEmpty();
@@ -78,8 +78,8 @@
     /** One malformed object must not prevent the others from being read. */
     @Test
     void testMalformedObjectsAreReportedAndIgnored() {
-        requests.hold(request(NOW_MILLIS));
-        store.objects.put("no fingerprint", HeldRequestJson.write(request(NOW_MILLIS)));
+        requests.quarantine(request(NOW_MILLIS));
+        store.objects.put("no fingerprint", QuarantinedRequestJson.write(request(NOW_MILLIS)));
         store.objects.put(
                 new Fingerprint(3, 4).toString(),
                 JsonNodeFactory.instance.objectNode().put("sinceMillis", "today"));
@@ -91,7 +91,7 @@
 
     @Test
     void testRequestWithExpiredQuarantineIsRemoved() {
-        requests.hold(request(NOW_MILLIS - Quarantine.HELD_MILLIS - 1));
+        requests.quarantine(request(NOW_MILLIS - Quarantine.QUARANTINE_MILLIS - 1));
         start();
         assertThat(listener.requests).isEmpty();
         assertThat(store.objects).isEmpty();
@@ -108,8 +108,8 @@
         loop.run();
     }
 
-    private static HeldRequest request(long sinceMillis) {
-        return new HeldRequest(
+    private static QuarantinedRequest request(long sinceMillis) {
+        return new QuarantinedRequest(
                 HARMFUL,
                 new RequestSummary("POST", "h", "/a", "clinic"),
                 Set.of("one@1", "two@1", "three@1"),
@@ -164,7 +164,7 @@
     /** Records the notifications of the store. */
     private static final class RecordingListener implements DirectoryListener {
 
-        private Map<Fingerprint, HeldRequest> requests = Map.of();
+        private Map<Fingerprint, QuarantinedRequest> requests = Map.of();
 
         private final List<String> unreadable = new ArrayList<>();
 
@@ -183,8 +183,8 @@
         public void membersChanged(Map<String, GatewayMember> members) {}
 
         @Override
-        public void heldRequestsChanged(Map<Fingerprint, HeldRequest> held) {
-            requests = held;
+        public void quarantinedRequestsChanged(Map<Fingerprint, QuarantinedRequest> quarantined) {
+            requests = quarantined;
         }
     }
 }
--- a/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineSimulation.java
@@ -77,7 +77,7 @@
      * @param harmless The number of harmless requests that arrived.
      * @param longestRefusalMillis The longest time for which a gateway refused a harmless request,
      *     in milliseconds.
-     * @param harmlessHeld The number of harmless requests that are quarantined at the end.
+     * @param harmlessQuarantined The number of harmless requests that are quarantined at the end.
      */
     record Outcome(
             int mostCrashes,
@@ -86,7 +86,7 @@
             int refused,
             int harmless,
             long longestRefusalMillis,
-            int harmlessHeld) {}
+            int harmlessQuarantined) {}
 
     /** An action at a simulated time; events at the same time run in the order of creation. */
     private record Event(long at, long order, Runnable action) {}
@@ -170,15 +170,16 @@
             long third = each.size() > 2 ? each.get(2) : END_MILLIS;
             late = Math.max(late, (int) each.stream().filter(time -> time > third + 3_000).count());
         }
-        int held = 0;
+        int quarantined = 0;
         for (int request = 0; request < HARMLESS_REQUESTS; request++) {
             Fingerprint fingerprint = fingerprint(request);
-            boolean heldAnywhere =
+            boolean quarantinedAnywhere =
                     gateways.stream()
-                            .anyMatch(each -> each.state(fingerprint) == QuarantineState.HELD);
-            held += heldAnywhere ? 1 : 0;
+                            .anyMatch(
+                                    each -> each.state(fingerprint) == QuarantineState.QUARANTINED);
+            quarantined += quarantinedAnywhere ? 1 : 0;
         }
-        return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, held);
+        return new Outcome(most, all, late, refused, harmless, longestRefusalMillis, quarantined);
     }
 
     private void schedule(long time, Runnable action) {
@@ -308,7 +309,7 @@
         gateways.get(gateway).decide(now);
         List<QuarantineUpdate> updates = new ArrayList<>(gateways.get(gateway).takeUpdates(now));
         if (random.nextDouble() * load.gateways() * 1_000 < load.reportMillis()) {
-            updates.addAll(gateways.get(gateway).heldUpdates());
+            updates.addAll(gateways.get(gateway).quarantinedRequestUpdates());
         }
         for (int peer = 0; peer < load.gateways() && !updates.isEmpty(); peer++) {
             send(gateway, peer, updates);
--- a/src/test/java/org/martenwell/quarantine/QuarantineTest.java
+++ b/src/test/java/org/martenwell/quarantine/QuarantineTest.java
@@ -35,7 +35,7 @@
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.UNDECIDED);
         assertThat(quarantine.decide(1_700)).isEmpty();
         assertThat(quarantine.decide(1_800)).containsExactly(HARMFUL);
-        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
+        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
         assertThat(quarantine.state(OTHER)).isEqualTo(QuarantineState.FREE);
     }
 
@@ -89,20 +89,20 @@
 
     @Test
     void testDelayedUpdateDoesNotQuarantineAReleasedRequest() {
-        quarantine.hold(HARMFUL, 0);
+        quarantine.quarantine(HARMFUL, 0);
         assertThat(quarantine.clear(HARMFUL, 1)).isTrue();
-        assertThat(quarantine.applyUpdate(QuarantineUpdate.held(HARMFUL), 30_000)).isFalse();
+        assertThat(quarantine.applyUpdate(QuarantineUpdate.quarantined(HARMFUL), 30_000)).isFalse();
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         assertThat(quarantine.takeUpdates(1)).containsExactly(QuarantineUpdate.cleared(HARMFUL));
     }
 
     @Test
     void testSnapshotHoldsQuarantinedRequestsAndCrashes() {
-        quarantine.hold(OTHER, 0);
+        quarantine.quarantine(OTHER, 0);
         quarantine.recordCrash(HARMFUL, "a", 0);
         assertThat(quarantine.snapshot())
                 .containsExactlyInAnyOrder(
-                        QuarantineUpdate.held(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
+                        QuarantineUpdate.quarantined(OTHER), QuarantineUpdate.crash(HARMFUL, "a"));
     }
 
     /** Guards against an update for every completion of a request that was suspected once. */
@@ -129,20 +129,20 @@
 
     @Test
     void testFreeRequestsAreEvictedBeforeQuarantinedOnes() {
-        quarantine.hold(HARMFUL, 0);
+        quarantine.quarantine(HARMFUL, 0);
         for (int other = 0; other < 10_000; other++) {
             quarantine.recordCrash(new Fingerprint(5, other), "a", 1);
         }
         assertThat(quarantine.size()).isLessThan(5_000);
-        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
+        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
     }
 
     @Test
     void testQuarantineExpires() {
-        quarantine.hold(HARMFUL, 0);
-        quarantine.decide(Quarantine.HELD_MILLIS - 1);
-        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.HELD);
-        quarantine.decide(Quarantine.HELD_MILLIS);
+        quarantine.quarantine(HARMFUL, 0);
+        quarantine.decide(Quarantine.QUARANTINE_MILLIS - 1);
+        assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.QUARANTINED);
+        quarantine.decide(Quarantine.QUARANTINE_MILLIS);
         assertThat(quarantine.state(HARMFUL)).isEqualTo(QuarantineState.FREE);
         assertThat(quarantine.tracksScope(HARMFUL.scope())).isFalse();
     }
@@ -163,6 +163,6 @@
             now += 400;
         }
         assertThat(fresh.decide(now + AFTER_CLEARING_MILLIS)).hasSize(crashes >= 3 ? 1 : 0);
-        assertThat(fresh.held()).isEqualTo(crashes >= 3 ? 1 : 0);
+        assertThat(fresh.quarantinedCount()).isEqualTo(crashes >= 3 ? 1 : 0);
     }
 }
